--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -17,8 +17,8 @@
 
 from mountridge import application, errors, utils
 from mountridge.documents import routes
-from mountridge.routing import backends, closures, lines, routedexchanges
-from mountridge.routing import warmup
+from mountridge.routing import backends, closures, routedexchanges
+from mountridge.routing import waitqueues, warmup
 
 __all__ = ['Picker']
 
@@ -60,8 +60,8 @@
         self._gateways = gateways
         self._rng = rng
         #: Requests that wait for a runner that can turn cold, by service.
-        self._lines: dict[str, lines.Line] = collections.defaultdict(
-            lines.Line
+        self._lines: dict[str, waitqueues.WaitQueue] = collections.defaultdict(
+            waitqueues.WaitQueue
         )
         #: Since when all known runners of a service have other owners.
         self._unowned_s: dict[str, float] = {}
@@ -131,12 +131,15 @@
             line.leave(place)
 
     async def _wait_for_turn(
-        self, exchange: Exchange, place: lines.Place | None, until_s: float
+        self,
+        exchange: Exchange,
+        place: waitqueues.Waiter | None,
+        until_s: float,
     ) -> backends.Picked | None:
         line = self._lines[exchange.service]
         while True:
             now_s = self._app.now_s()
-            ahead = line.ahead(place) if place else 0
+            ahead = line.count_ahead(place) if place else 0
             turn_s = self.known.turn_s(
                 exchange.service, exchange.tried, ahead, now_s
             )
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1270,9 +1270,9 @@
         'more += COLD_COST', 'pass', 'warmup',
     ),
     Mutant(
-        'lines: only in order of arrival', 'lines',
-        'place = Place((priority, next(self._arrivals)))',
-        'place = Place((0, next(self._arrivals)))', 'warmup',
+        'lines: only in order of arrival', 'waitqueues',
+        'waiter = Waiter((priority, next(self._arrivals)))',
+        'waiter = Waiter((0, next(self._arrivals)))', 'warmup',
     ),
     Mutant(
         'picking: who comes late waits all the same', 'picking',
