--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -15,7 +15,7 @@
 from mountridge.documents import instances, quarantines
 from mountridge import errors, metrics
 from mountridge.net import dialects, httpserver, lasthop
-from mountridge.routing import crashwatch, entryapi, quarantine, rests
+from mountridge.routing import backoffs, crashwatch, entryapi, quarantine
 from mountridge.routing import routedexchanges
 from mountridge.state import commands, statemachine
 
@@ -313,7 +313,7 @@
     app = types.SimpleNamespace(
         now_s=lambda: 1.0, metrics=metrics.Metrics(None)
     )
-    words = rests.Rests()
+    words = backoffs.Backoffs()
     context.watch = crashwatch.CrashWatch(app, known, words, lambda _: True)
     request = httpserver.Request(b'POST', b'/1', [], b'body')
     exchange = routedexchanges.Exchange(request, None, 0.0)
--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -12,7 +12,7 @@
 from features.worlds import rests, system
 from mountridge import errors
 from mountridge.net import dialects
-from mountridge.routing import backends, rests as rests_module
+from mountridge.routing import backends, backoffs
 
 LEAVING = rests.Answer(200, ((b'X-Leaving', b'1'),))
 
@@ -280,7 +280,7 @@
 def rested(context):
     context.known = backends.Backends()
     context.known.follow([rests.Runner(n).instance for n in range(4)])
-    context.known.rests.ask(rests.Runner(0).instance, 1.0, 100.0)
+    context.known.backoffs.ask(rests.Runner(0).instance, 1.0, 100.0)
     context.known.by_id['i-1'].heard(2, 0, 111.0)
 
 
@@ -320,7 +320,7 @@
 def check_lasts(context, lasts_s):
     asked = context.scenario.name.partition(' -- ')[0].rpartition(' ')[2]
     span_s = math.nan if asked == 'unclear' else float(asked)
-    words, runner = rests_module.Rests(), rests.Runner(0).instance
+    words, runner = backoffs.Backoffs(), rests.Runner(0).instance
     assert words.ask(runner, span_s, 10.0) == 10.0 + lasts_s
     assert words.ask(runner, 0.1, 10.1) == 10.0 + lasts_s
     assert not words.may_place(runner, 10.0 + lasts_s - 0.01)
@@ -329,7 +329,7 @@
 
 @when('{count:d} lives of runners ask for rest')
 def many_lives(context, count):
-    context.words = rests_module.Rests()
+    context.words = backoffs.Backoffs()
     context.lives = [rests.Runner(n).instance for n in range(count)]
     for runner in context.lives:
         context.words.ask(runner, 60.0, 0.0)
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -383,7 +383,7 @@
     def dump(self) -> dict:
         """Return the state for `mountridge dump`."""
         now_s = self.app.now_s()
-        rests = self.backends.rests
+        backoffs = self.backends.backoffs
         return {
             'index': self.held.view.index,
             'lease_left_s': self.held.until_s - self.app.now_s(),
@@ -398,8 +398,8 @@
                     'reported': backend.reported,
                     'failures': backend.failures,
                     'cold': backend.instance.is_cold,
-                    'rests': rests.until_s(backend.instance) > now_s,
-                    'says_leaving': rests.is_leaving(backend.instance),
+                    'rests': backoffs.until_s(backend.instance) > now_s,
+                    'says_leaving': backoffs.is_leaving(backend.instance),
                 }
                 for key, backend in self.backends.by_id.items()
             },
--- a/mountridge/net/reststates.py
+++ b/mountridge/net/backoffstates.py
@@ -9,7 +9,7 @@
 
 import math
 
-__all__ = ['NO_REST', 'RestState']
+__all__ = ['BackoffState', 'NO_BACKOFF']
 
 #: Taken where a runner asks for rest and its span can't be read: about what
 #: a full runner needs to have a slot again.
@@ -17,16 +17,16 @@
 #: A runner that asks for more than an hour has given another unit.
 MOST_S = 3600.0
 #: When the rest of a runner that asked for none was over.
-NO_REST = float('-inf')
+NO_BACKOFF = float('-inf')
 
 
-class RestState:
+class BackoffState:
     """What one life of a runner has asked for."""
 
     __slots__ = ('is_doubtful', 'is_leaving', 'is_tried', 'until_s')
 
     def __init__(self) -> None:
-        self.until_s = NO_REST
+        self.until_s = NO_BACKOFF
         self.is_leaving = False
         #: Whether a request is finding out if the rest was long enough.
         self.is_tried = False
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -10,7 +10,7 @@
 
 from mountridge.documents import instances
 from mountridge import messages
-from mountridge.routing import choosing, rests, returns, runnerstates
+from mountridge.routing import backoffs, choosing, returns, runnerstates
 from mountridge.routing import warmup
 
 __all__ = ['Backend', 'Backends', 'LEAVE_PACE', 'Picked', 'SLOW_PACE']
@@ -72,7 +72,7 @@
         #: Its part of the requests to runners that can turn cold.
         self.warmup = bound or warmup.Warmup(name)
         #: What runners have asked of this gateway.
-        self.rests = rests.Rests()
+        self.backoffs = backoffs.Backoffs()
         self._gateways: dict[str, str] = {}
         self._own_part: set[str] = set()
         #: Halls that are out of service.
@@ -163,7 +163,7 @@
         """Note that a rank has taken a request: its group is open."""
         if not self._holds(backend):
             return
-        if self.rests.takes(backend.instance, now_s):
+        if self.backoffs.takes(backend.instance, now_s):
             self._announce()
         closure = backend.closure
         if closure.is_proved and not closure.is_closed(now_s, True):
@@ -293,9 +293,9 @@
             if backend.instance.state == instances.READY
             and not backend.replaced
         ]
-        if not self.rests:
+        if not self.backoffs:
             return listed
-        is_leaving = self.rests.is_leaving
+        is_leaving = self.backoffs.is_leaving
         return [b for b in listed if not is_leaving(b.instance)]
 
     def closed_for_s(self, service: str, now_s: float) -> float | None:
@@ -387,10 +387,10 @@
         Those that are not well are among them only where all are so.
         """
         fit = self._willing(service, tried, was_refused, now_s)
-        if self.rests:
-            may_place = self.rests.may_place
+        if self.backoffs:
+            may_place = self.backoffs.may_place
             fit = [b for b in fit if may_place(b.instance, now_s)]
-            if tried and self.rests.is_any_in_doubt(now_s):
+            if tried and self.backoffs.is_any_in_doubt(now_s):
                 fit = [b for b in fit if self._is_at_work(b)] or fit
         sound = [b for b in fit if b.ejected_until_s <= now_s] or fit
         return [b for b in sound if b.pace < SLOW_PACE] or sound
@@ -404,7 +404,7 @@
         requests are refused where 9 were (scenarios of rests).
         """
         is_busy = backend.own > 0 or backend.reported > 0
-        return is_busy and not self.rests.is_doubtful(backend.instance)
+        return is_busy and not self.backoffs.is_doubtful(backend.instance)
 
     def _willing(
         self, service: str, tried: set[str], was_refused: bool, now_s: float
@@ -424,14 +424,14 @@
 
         None where none rests of those that would take it.
         """
-        if not self.rests:
+        if not self.backoffs:
             return None
         willing = self._willing(service, tried, was_refused, now_s)
         return min(
             (
-                max(now_s, self.rests.until_s(backend.instance))
+                max(now_s, self.backoffs.until_s(backend.instance))
                 for backend in willing
-                if not self.rests.may_place(backend.instance, now_s)
+                if not self.backoffs.may_place(backend.instance, now_s)
             ),
             default=None,
         )
--- a/mountridge/routing/rests.py
+++ b/mountridge/routing/backoffs.py
@@ -8,11 +8,11 @@
 """
 
 from mountridge.documents import instances
-from mountridge.net import reststates
+from mountridge.net import backoffstates
 
-__all__ = ['NO_REST', 'Rests']
+__all__ = ['Backoffs', 'NO_BACKOFF']
 
-NO_REST = reststates.NO_REST
+NO_BACKOFF = backoffstates.NO_BACKOFF
 #: Lives whose words are kept, the latest ones: a whole fleet, a few times.
 MOST_KEPT = 2000
 #: A runner that has taken nothing for so long after its rest is gone, or gets
@@ -22,11 +22,11 @@
 Life = tuple[str, int, int]
 
 
-class Rests:
+class Backoffs:
     """The words of all runners, by life."""
 
     def __init__(self) -> None:
-        self._states: dict[Life, reststates.RestState] = {}
+        self._states: dict[Life, backoffstates.BackoffState] = {}
 
     def __len__(self) -> int:
         return len(self._states)
@@ -49,7 +49,7 @@
     def until_s(self, runner: instances.Instance) -> float:
         """Return when a runner's rest is over, `NO_REST` where it had none."""
         state = self._states.get(_life(runner))
-        return NO_REST if state is None else state.until_s
+        return NO_BACKOFF if state is None else state.until_s
 
     def is_any_in_doubt(self, now_s: float) -> bool:
         """Return whether runners rest, or did of late and took nothing yet."""
@@ -97,9 +97,12 @@
         del self._states[_life(runner)]
         return True
 
-    def _keep(self, runner: instances.Instance) -> reststates.RestState:
+    def _keep(self, runner: instances.Instance) -> backoffstates.BackoffState:
         """Return what a runner has asked for, as the latest of all."""
-        state = self._states.pop(_life(runner), None) or reststates.RestState()
+        state = (
+            self._states.pop(_life(runner), None)
+            or backoffstates.BackoffState()
+        )
         while len(self._states) >= MOST_KEPT:
             del self._states[next(iter(self._states))]
         self._states[_life(runner)] = state
--- a/mountridge/routing/crashwatch.py
+++ b/mountridge/routing/crashwatch.py
@@ -13,7 +13,7 @@
 from mountridge.documents import instances
 from mountridge.logs import logger
 from mountridge.net import lasthop
-from mountridge.routing import quarantine, rests, routedexchanges
+from mountridge.routing import backoffs, quarantine, routedexchanges
 from mountridge.routing import routefilters
 
 __all__ = ['CrashWatch']
@@ -35,7 +35,7 @@
         self,
         app: application.Application,
         known: quarantine.Quarantine,
-        words: rests.Rests,
+        words: backoffs.Backoffs,
         has_ranks: typing.Callable[[str], bool],
     ):
         self._app = app
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -606,17 +606,17 @@
     ),
     Mutant(
         'rests: no word of leaving is heard', 'forwarding',
-        'if head.is_leaving and self.known.rests.leave(runner):', 'if False:',
-        'rests',
+        'if head.is_leaving and self.known.backoffs.leave(runner):',
+        'if False:', 'rests',
     ),
     Mutant(
-        'rests: a word is of the id, not of the life', 'rests',
+        'rests: a word is of the id, not of the life', 'backoffs',
         'return runner.instance_id, runner.lives, runner.born_ms',
         'return runner.instance_id, 0, 0', 'rests',
     ),
     Mutant(
         'rests: what was placed before is sent all the same', 'forwarding',
-        'if not self.known.rests.allows(backend.instance, now_s):',
+        'if not self.known.backoffs.allows(backend.instance, now_s):',
         'if False:', 'rests',
     ),
     Mutant(
@@ -624,13 +624,13 @@
         'exchange.unsent += is_unsent', 'pass', 'rests',
     ),
     Mutant(
-        'rests: all come at once when one is over', 'reststates',
+        'rests: all come at once when one is over', 'backoffstates',
         'return self.allows(now_s) and not self.is_tried',
         'return self.allows(now_s)', 'rests',
     ),
     Mutant(
         'rests: a runner that takes requests again stays in doubt',
-        'backends', 'if self.rests.takes(backend.instance, now_s):',
+        'backends', 'if self.backoffs.takes(backend.instance, now_s):',
         'if False:', 'rests',
     ),
     Mutant(
@@ -658,7 +658,7 @@
     ),
     Mutant(
         'rests: an agent takes tickets in one', 'agent',
-        'if not self.rest_state.allows(now_s):', 'if False:', 'rests',
+        'if not self.backoff_state.allows(now_s):', 'if False:', 'rests',
         'agent',
     ),
     Mutant(
@@ -731,7 +731,7 @@
         'exchange.is_suspect = True', 'quarantine',
     ),
     Mutant(
-        'rests: one rest is remembered for ever', 'rests',
+        'rests: one rest is remembered for ever', 'backoffs',
         'now_s < state.until_s + DOUBT_S', 'True', 'rests',
     ),
     Mutant(
