--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -280,7 +280,7 @@
 def rested(context):
     context.known = backends.Backends()
     context.known.follow([rests.Runner(n).instance for n in range(4)])
-    context.known.backoffs.ask(rests.Runner(0).instance, 1.0, 100.0)
+    context.known.backoffs.back_off(rests.Runner(0).instance, 1.0, 100.0)
     context.known.by_id['i-1'].heard(2, 0, 111.0)
 
 
@@ -321,10 +321,10 @@
     asked = context.scenario.name.partition(' -- ')[0].rpartition(' ')[2]
     span_s = math.nan if asked == 'unclear' else float(asked)
     words, runner = backoffs.Backoffs(), rests.Runner(0).instance
-    assert words.ask(runner, span_s, 10.0) == 10.0 + lasts_s
-    assert words.ask(runner, 0.1, 10.1) == 10.0 + lasts_s
-    assert not words.may_place(runner, 10.0 + lasts_s - 0.01)
-    assert words.may_place(runner, 10.0 + lasts_s)
+    assert words.back_off(runner, span_s, 10.0) == 10.0 + lasts_s
+    assert words.back_off(runner, 0.1, 10.1) == 10.0 + lasts_s
+    assert not words.may_select(runner, 10.0 + lasts_s - 0.01)
+    assert words.may_select(runner, 10.0 + lasts_s)
 
 
 @when('{count:d} lives of runners ask for rest')
@@ -332,13 +332,13 @@
     context.words = backoffs.Backoffs()
     context.lives = [rests.Runner(n).instance for n in range(count)]
     for runner in context.lives:
-        context.words.ask(runner, 60.0, 0.0)
+        context.words.back_off(runner, 60.0, 0.0)
 
 
 @then('the words of {count:d} are kept, with the latest')
 def check_kept(context, count):
     assert len(context.words) == count
-    assert not context.words.may_place(context.lives[-1], 1.0)
+    assert not context.words.may_select(context.lives[-1], 1.0)
 
 
 # An agent and its one runner.
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -110,7 +110,7 @@
             raise errors.Draining()
         if not self.held.valid(now_s):
             raise errors.NoLease()
-        if not self.backoff_state.allows(now_s):
+        if not self.backoff_state.may_send(now_s):
             raise self._resting(now_s)
         self.tickets.accept(ticket, now_s)
         wait_s = min(ticket.queue_s, ticket.deadline_s)
@@ -202,12 +202,12 @@
         )
 
     def _start_next(self) -> None:
-        while self.backoff_state.may_place(self.app.now_s()):
+        while self.backoff_state.may_select(self.app.now_s()):
             item = self.queue.pop(self.app.now_s())
             if item is None:
                 return
             self.tickets.begin(item.attempt_id)
-            is_trial = self.backoff_state.begin()
+            is_trial = self.backoff_state.begin_request()
             attempt = self.attempts[item.attempt_id]
             self.app.start_task(self._run, attempt, is_trial)
 
@@ -224,7 +224,7 @@
                 problem = failed
         self.queue.done(ticket.attempt_id, self.app.now_s())
         if is_trial:
-            self.backoff_state.end_trial()
+            self.backoff_state.end_probe()
         if attempt.scope.cancelled_caught:
             problem = errors.RunnerFailed('cancelled by the caller')
         if problem is None:
@@ -261,14 +261,14 @@
             self._rest(head.rest_s, now_s)
         elif head.is_leaving:
             self._rest(LEAVING_S, now_s)
-        elif not head.not_run and self.backoff_state.takes(now_s):
+        elif not head.not_run and self.backoff_state.record_accepted(now_s):
             self._start_next()
         if head.not_run:
             raise errors.RunnerRefused(f'the runner answered {head.status}')
 
     def _rest(self, span_s: float, now_s: float) -> None:
         """Send nothing for a while; what waits goes to another agent."""
-        self.backoff_state.ask(span_s, now_s)
+        self.backoff_state.back_off(span_s, now_s)
         self.app.metrics.incr('rest.asked')
         rest_ms = round((self.backoff_state.until_s - now_s) * 1000)
         logger.info('runner asks for rest', rest_ms=rest_ms)
@@ -360,7 +360,7 @@
 
     def _takes_nothing(self) -> bool:
         now_s = self.app.now_s()
-        is_willing = self.held.valid(now_s) and self.backoff_state.allows(
+        is_willing = self.held.valid(now_s) and self.backoff_state.may_send(
             now_s
         )
         return self.draining or not is_willing
--- a/mountridge/net/backoffstates.py
+++ b/mountridge/net/backoffstates.py
@@ -23,17 +23,17 @@
 class BackoffState:
     """What one life of a runner has asked for."""
 
-    __slots__ = ('is_doubtful', 'is_leaving', 'is_tried', 'until_s')
+    __slots__ = ('is_unconfirmed', 'is_leaving', 'is_probing', 'until_s')
 
     def __init__(self) -> None:
         self.until_s = NO_BACKOFF
         self.is_leaving = False
         #: Whether a request is finding out if the rest was long enough.
-        self.is_tried = False
+        self.is_probing = False
         #: Whether it has taken nothing yet since it asked for something.
-        self.is_doubtful = False
+        self.is_unconfirmed = False
 
-    def ask(self, span_s: float, now_s: float) -> float:
+    def back_off(self, span_s: float, now_s: float) -> float:
         """Take a rest that is asked for; return when it is over.
 
         NaN stands for a span that can't be read. A shorter rest that is asked
@@ -41,49 +41,49 @@
         """
         span_s = UNREAD_S if math.isnan(span_s) else min(span_s, MOST_S)
         self.until_s = max(self.until_s, now_s + span_s)
-        self.is_doubtful = True
+        self.is_unconfirmed = True
         return self.until_s
 
-    def leave(self) -> bool:
+    def mark_leaving(self) -> bool:
         """Take the word that it leaves; return whether that is new."""
         is_new = not self.is_leaving
-        self.is_leaving = self.is_doubtful = True
+        self.is_leaving = self.is_unconfirmed = True
         return is_new
 
-    def allows(self, now_s: float) -> bool:
+    def may_send(self, now_s: float) -> bool:
         """Return whether a request that was placed may be sent now."""
         return not self.is_leaving and now_s >= self.until_s
 
-    def may_place(self, now_s: float) -> bool:
+    def may_select(self, now_s: float) -> bool:
         """Return whether a request may be placed now.
 
         After a rest there is one at a time, until one is taken: the runner
         may ask for another rest, and what is on its way then comes into that.
         """
-        return self.allows(now_s) and not self.is_tried
+        return self.may_send(now_s) and not self.is_probing
 
-    def begin(self) -> bool:
+    def begin_request(self) -> bool:
         """Note that a request is sent.
 
         Returns whether it is the one that tries the runner after a rest, for
-        which `end_trial` must be called in the end.
+        which `end_probe` must be called in the end.
         """
-        if not self.is_doubtful or self.is_tried:
+        if not self.is_unconfirmed or self.is_probing:
             return False
-        self.is_tried = True
+        self.is_probing = True
         return True
 
-    def end_trial(self) -> None:
+    def end_probe(self) -> None:
         """Note that what came of the request that tried it is known."""
-        self.is_tried = False
+        self.is_probing = False
 
-    def takes(self, now_s: float) -> bool:
+    def record_accepted(self, now_s: float) -> bool:
         """Note that it has taken a request; its rest may be forgotten.
 
         Returns whether that ends a doubt. A request that it took before it
         asked for rest says nothing.
         """
-        if not self.is_doubtful or not self.allows(now_s):
+        if not self.is_unconfirmed or not self.may_send(now_s):
             return False
-        self.is_doubtful = self.is_tried = False
+        self.is_unconfirmed = self.is_probing = False
         return True
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -163,7 +163,7 @@
         """Note that a rank has taken a request: its group is open."""
         if not self._holds(backend):
             return
-        if self.backoffs.takes(backend.instance, now_s):
+        if self.backoffs.record_accepted(backend.instance, now_s):
             self._announce()
         closure = backend.closure
         if closure.is_proved and not closure.is_closed(now_s, True):
@@ -388,9 +388,9 @@
         """
         fit = self._willing(service, tried, was_refused, now_s)
         if self.backoffs:
-            may_place = self.backoffs.may_place
-            fit = [b for b in fit if may_place(b.instance, now_s)]
-            if tried and self.backoffs.is_any_in_doubt(now_s):
+            may_select = self.backoffs.may_select
+            fit = [b for b in fit if may_select(b.instance, now_s)]
+            if tried and self.backoffs.is_any_unconfirmed(now_s):
                 fit = [b for b in fit if self._is_at_work(b)] or fit
         sound = [b for b in fit if b.ejected_until_s <= now_s] or fit
         return [b for b in sound if b.pace < SLOW_PACE] or sound
@@ -404,7 +404,7 @@
         requests are refused where 9 were (scenarios of rests).
         """
         is_busy = backend.own > 0 or backend.reported > 0
-        return is_busy and not self.backoffs.is_doubtful(backend.instance)
+        return is_busy and not self.backoffs.is_unconfirmed(backend.instance)
 
     def _willing(
         self, service: str, tried: set[str], was_refused: bool, now_s: float
@@ -431,7 +431,7 @@
             (
                 max(now_s, self.backoffs.until_s(backend.instance))
                 for backend in willing
-                if not self.backoffs.may_place(backend.instance, now_s)
+                if not self.backoffs.may_select(backend.instance, now_s)
             ),
             default=None,
         )
--- a/mountridge/routing/backoffs.py
+++ b/mountridge/routing/backoffs.py
@@ -31,15 +31,15 @@
     def __len__(self) -> int:
         return len(self._states)
 
-    def ask(
+    def back_off(
         self, runner: instances.Instance, span_s: float, now_s: float
     ) -> float:
         """Take a rest that a runner asks for; return when it is over."""
-        return self._keep(runner).ask(span_s, now_s)
+        return self._keep(runner).back_off(span_s, now_s)
 
-    def leave(self, runner: instances.Instance) -> bool:
+    def mark_leaving(self, runner: instances.Instance) -> bool:
         """Take a runner's word that it leaves; return whether that is new."""
-        return self._keep(runner).leave()
+        return self._keep(runner).mark_leaving()
 
     def is_leaving(self, runner: instances.Instance) -> bool:
         """Return whether a runner has said that it leaves."""
@@ -51,48 +51,50 @@
         state = self._states.get(_life(runner))
         return NO_BACKOFF if state is None else state.until_s
 
-    def is_any_in_doubt(self, now_s: float) -> bool:
+    def is_any_unconfirmed(self, now_s: float) -> bool:
         """Return whether runners rest, or did of late and took nothing yet."""
         return any(
             now_s < state.until_s + DOUBT_S for state in self._states.values()
         )
 
-    def is_doubtful(self, runner: instances.Instance) -> bool:
+    def is_unconfirmed(self, runner: instances.Instance) -> bool:
         """Return whether it has taken nothing yet since it asked."""
         return _life(runner) in self._states
 
-    def allows(self, runner: instances.Instance, now_s: float) -> bool:
+    def may_send(self, runner: instances.Instance, now_s: float) -> bool:
         """Return whether a request that was placed may be sent now."""
         state = self._states.get(_life(runner))
-        return state is None or state.allows(now_s)
+        return state is None or state.may_send(now_s)
 
-    def may_place(self, runner: instances.Instance, now_s: float) -> bool:
+    def may_select(self, runner: instances.Instance, now_s: float) -> bool:
         """Return whether a request may be placed at a runner now."""
         state = self._states.get(_life(runner))
-        return state is None or state.may_place(now_s)
+        return state is None or state.may_select(now_s)
 
-    def begin(self, runner: instances.Instance) -> bool:
+    def begin_request(self, runner: instances.Instance) -> bool:
         """Note that a request goes to a runner.
 
         Returns whether it is the one that tries a runner after its rest, for
-        which `end_trial` must be called in the end.
+        which `end_probe` must be called in the end.
         """
         state = self._states.get(_life(runner))
-        return state is not None and state.begin()
+        return state is not None and state.begin_request()
 
-    def end_trial(self, runner: instances.Instance) -> None:
+    def end_probe(self, runner: instances.Instance) -> None:
         """Note that what came of the request that tried it is known."""
         state = self._states.get(_life(runner))
         if state is not None:
-            state.end_trial()
+            state.end_probe()
 
-    def takes(self, runner: instances.Instance, now_s: float) -> bool:
+    def record_accepted(
+        self, runner: instances.Instance, now_s: float
+    ) -> bool:
         """Note that a runner has taken a request; its rest may be forgotten.
 
         Returns whether it may get more from now on.
         """
         state = self._states.get(_life(runner))
-        if state is None or not state.takes(now_s):
+        if state is None or not state.record_accepted(now_s):
             return False
         del self._states[_life(runner)]
         return True
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -294,7 +294,7 @@
         exchange.is_under_way = True
         exchange.tried.add(backend.instance.instance_id)
         send = self.known.began(backend, self.app.now_s())
-        is_trial = self.known.backoffs.begin(backend.instance)
+        is_trial = self.known.backoffs.begin_request(backend.instance)
         try:
             async with self.pool.request(
                 backend.instance.address,
@@ -312,7 +312,7 @@
             if not send.has_left:
                 send.take_back()
             if is_trial:
-                self.known.backoffs.end_trial(backend.instance)
+                self.known.backoffs.end_probe(backend.instance)
             backend.ended()
 
     def _leaves(
@@ -329,7 +329,7 @@
         now_s = self.app.now_s()
         if now_s >= until_s:
             raise errors.DeadlinePassed()
-        if not self.known.backoffs.allows(backend.instance, now_s):
+        if not self.known.backoffs.may_send(backend.instance, now_s):
             self.app.metrics.incr('rest.held_back')
             raise errors.RunnersResting('the runner wants none, since placed')
         send.leaves(now_s)
@@ -403,13 +403,13 @@
             'runner': runner.instance_id,
         }
         if head.rest_s is not None:
-            over_s = self.known.backoffs.ask(runner, head.rest_s, now_s)
+            over_s = self.known.backoffs.back_off(runner, head.rest_s, now_s)
             self.app.metrics.incr('rest.asked')
             if math.isnan(head.rest_s):
                 self.app.metrics.incr('runner.malformed.rest')
             rest_ms = _ms(over_s - now_s)
             logger.info('runner asks for rest', **told, rest_ms=rest_ms)
-        if head.is_leaving and self.known.backoffs.leave(runner):
+        if head.is_leaving and self.known.backoffs.mark_leaving(runner):
             self.app.metrics.incr('runner.says_leaving')
             state = runner.state
             logger.info('runner says that it leaves', **told, held_state=state)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -606,7 +606,7 @@
     ),
     Mutant(
         'rests: no word of leaving is heard', 'forwarding',
-        'if head.is_leaving and self.known.backoffs.leave(runner):',
+        'if head.is_leaving and self.known.backoffs.mark_leaving(runner):',
         'if False:', 'rests',
     ),
     Mutant(
@@ -616,7 +616,7 @@
     ),
     Mutant(
         'rests: what was placed before is sent all the same', 'forwarding',
-        'if not self.known.backoffs.allows(backend.instance, now_s):',
+        'if not self.known.backoffs.may_send(backend.instance, now_s):',
         'if False:', 'rests',
     ),
     Mutant(
@@ -625,12 +625,13 @@
     ),
     Mutant(
         'rests: all come at once when one is over', 'backoffstates',
-        'return self.allows(now_s) and not self.is_tried',
-        'return self.allows(now_s)', 'rests',
+        'return self.may_send(now_s) and not self.is_probing',
+        'return self.may_send(now_s)', 'rests',
     ),
     Mutant(
         'rests: a runner that takes requests again stays in doubt',
-        'backends', 'if self.backoffs.takes(backend.instance, now_s):',
+        'backends',
+        'if self.backoffs.record_accepted(backend.instance, now_s):',
         'if False:', 'rests',
     ),
     Mutant(
@@ -658,7 +659,7 @@
     ),
     Mutant(
         'rests: an agent takes tickets in one', 'agent',
-        'if not self.backoff_state.allows(now_s):', 'if False:', 'rests',
+        'if not self.backoff_state.may_send(now_s):', 'if False:', 'rests',
         'agent',
     ),
     Mutant(
