--- a/mountridge/net/backoffstates.py
+++ b/mountridge/net/backoffstates.py
@@ -1,72 +1,77 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What one runner asks of one sender for the time to come, in its answers.
+"""Backoff that one runner has requested from one sender in its responses.
 
-A runner that turns a request away may ask for rest, and one that is about to
-end says so. Nothing runs on either, so by its load each looks like the best
-of all; only its own word tells otherwise.
+A runner that refuses a request may ask for a backoff (Retry-After), and one
+that is about to end says so. Such a runner has no requests, so by its load it
+looks like the best choice; only its own responses tell otherwise.
 """
 
 import math
 
 __all__ = ['BackoffState', 'NO_BACKOFF']
 
-#: Taken where a runner asks for rest and its span can't be read: about what
-#: a full runner needs to have a slot again.
-UNREAD_S = 1.0
-#: A runner that asks for more than an hour has given another unit.
-MOST_S = 3600.0
-#: When the rest of a runner that asked for none was over.
+#: Used where a runner asks for a backoff whose value can't be parsed: about
+#: as long as a full runner needs to free a slot.
+DEFAULT_BACKOFF_S = 1.0
+#: A longer value is taken to be in another unit, and is cut to this.
+MAX_BACKOFF_S = 3600.0
+#: End of the backoff of a runner that has requested none.
 NO_BACKOFF = float('-inf')
 
 
 class BackoffState:
-    """What one life of a runner has asked for."""
+    """What one incarnation of a runner has requested."""
 
-    __slots__ = ('is_unconfirmed', 'is_leaving', 'is_probing', 'until_s')
+    __slots__ = ('is_leaving', 'is_probing', 'is_unconfirmed', 'until_s')
 
     def __init__(self) -> None:
         self.until_s = NO_BACKOFF
         self.is_leaving = False
-        #: Whether a request is finding out if the rest was long enough.
+        #: Whether a probe request is under way after a backoff.
         self.is_probing = False
-        #: Whether it has taken nothing yet since it asked for something.
+        #: Whether it has accepted no request since it asked for a backoff or
+        #: announced that it leaves.
         self.is_unconfirmed = False
 
     def back_off(self, span_s: float, now_s: float) -> float:
-        """Take a rest that is asked for; return when it is over.
+        """Apply a requested backoff; return when it ends.
 
-        NaN stands for a span that can't be read. A shorter rest that is asked
-        for later does not end a longer one.
+        NaN stands for a value that can't be parsed. A later request for a
+        shorter backoff does not shorten a longer one.
         """
-        span_s = UNREAD_S if math.isnan(span_s) else min(span_s, MOST_S)
+        span_s = (
+            DEFAULT_BACKOFF_S
+            if math.isnan(span_s)
+            else min(span_s, MAX_BACKOFF_S)
+        )
         self.until_s = max(self.until_s, now_s + span_s)
         self.is_unconfirmed = True
         return self.until_s
 
     def mark_leaving(self) -> bool:
-        """Take the word that it leaves; return whether that is new."""
+        """Record that the runner leaves; return whether that is new."""
         is_new = not self.is_leaving
         self.is_leaving = self.is_unconfirmed = True
         return is_new
 
     def may_send(self, now_s: float) -> bool:
-        """Return whether a request that was placed may be sent now."""
+        """Return whether a request assigned to the runner may be sent now."""
         return not self.is_leaving and now_s >= self.until_s
 
     def may_select(self, now_s: float) -> bool:
-        """Return whether a request may be placed now.
+        """Return whether the runner may be selected for a request now.
 
-        After a rest there is one at a time, until one is taken: the runner
-        may ask for another rest, and what is on its way then comes into that.
+        After a backoff it gets one request at a time until it accepts one: it
+        may request another backoff, which would refuse all requests under way.
         """
         return self.may_send(now_s) and not self.is_probing
 
     def begin_request(self) -> bool:
-        """Note that a request is sent.
+        """Record that a request is being sent.
 
-        Returns whether it is the one that tries the runner after a rest, for
-        which `end_probe` must be called in the end.
+        Returns whether it is the probe after a backoff, for which the caller
+        must call `end_probe` in the end.
         """
         if not self.is_unconfirmed or self.is_probing:
             return False
@@ -74,14 +79,14 @@
         return True
 
     def end_probe(self) -> None:
-        """Note that what came of the request that tried it is known."""
+        """Record that the outcome of the probe request is known."""
         self.is_probing = False
 
     def record_accepted(self, now_s: float) -> bool:
-        """Note that it has taken a request; its rest may be forgotten.
+        """Record that the runner has accepted a request.
 
-        Returns whether that ends a doubt. A request that it took before it
-        asked for rest says nothing.
+        Returns whether that confirms that it takes requests again. A request
+        that it accepted before it asked for a backoff confirms nothing.
         """
         if not self.is_unconfirmed or not self.may_send(now_s):
             return False
