--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -733,7 +733,7 @@
     ),
     Mutant(
         'rests: one rest is remembered for ever', 'backoffs',
-        'now_s < state.until_s + DOUBT_S', 'True', 'rests',
+        'now_s < state.until_s + UNCONFIRMED_S', 'True', 'rests',
     ),
     Mutant(
         'quarantine: suspects are told for as long as they count',
