--- a/bench/placing.py
+++ b/bench/placing.py
@@ -245,7 +245,7 @@
         begun_s = time.perf_counter()
         for _ in range(PLACED):
             picked = known.pick('s', 'h0', set(), gateways, rng, now_s)
-            known.began(picked.backend, now_s).leaves(now_s)
+            known.began(picked.backend, now_s).mark_sent(now_s)
             picked.backend.ended()
             now_s += 0.1
         found.append((time.perf_counter() - begun_s) / PLACED * 1e6)
--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -180,7 +180,7 @@
         """Return whether a runner takes a request, and let it answer."""
         instance = backend.instance
         runner = next(r for r in self.runners if instance in (r.old, r.new))
-        send.leaves(self.now_s())
+        send.mark_sent(self.now_s())
         await trio.sleep(WAY_S)
         is_gone = instance is runner.old
         if not is_gone:
@@ -190,7 +190,7 @@
             await trio.sleep(REFUSED_S)
             backend.replaced = is_gone
             if is_gone:
-                send.take_back()
+                send.discard()
             else:
                 backend.heard(runner.there, 0, self.now_s())
             known.refused(backend, self.now_s())
@@ -356,9 +356,9 @@
             if not gateway.own.part(runner, at_s):
                 continue
             if gateway.own.is_free(runner, at_s):
-                send = gateway.own.send(runner, at_s)
+                send = gateway.own.record_send(runner, at_s)
                 late_s = at_s + self.rng.choice([0.0, 0.001, 0.3])
-                send.leaves(late_s)
+                send.mark_sent(late_s)
                 self.arrived_s[runner.instance_id].append(late_s)
 
     def most(self):
@@ -543,7 +543,7 @@
         try:
             picked = await self.picker.pick(exchange)
             now_s = trio.current_time()
-            self.known.began(picked.backend, now_s).leaves(now_s)
+            self.known.began(picked.backend, now_s).mark_sent(now_s)
             became = picked.backend.instance.instance_id
         except errors.MountridgeError as problem:
             became = problem
@@ -649,8 +649,8 @@
             picked = await gateway.picker.pick(gateway.exchange())
             send = gateway.known.began(picked.backend, trio.current_time())
             if what != 'never left':
-                send.leaves(trio.current_time())
-            send.take_back()
+                send.mark_sent(trio.current_time())
+            send.discard()
         await gateway.ask(3)
 
     _play(play)
@@ -760,7 +760,7 @@
         for number in range(10):
             runner = _runner(number)
             while own.part(runner, after_s) and own.is_free(runner, after_s):
-                own.send(runner, after_s).leaves(after_s)
+                own.record_send(runner, after_s).mark_sent(after_s)
                 context.sent[runner.instance_id] += 1
 
 
@@ -790,7 +790,7 @@
             context.own.follow_services({'s': after})
             context.part = context.own.part(runner, now_s)
         if context.own.is_free(runner, now_s):
-            context.own.send(runner, now_s).leaves(now_s)
+            context.own.record_send(runner, now_s).mark_sent(now_s)
             context.sent_s.append(now_s)
 
 
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -138,10 +138,10 @@
         if backend.closure.tell(load.is_open, now_s):
             self._opened(backend)
 
-    def began(self, backend: Backend, now_s: float) -> warmup.Send:
+    def began(self, backend: Backend, now_s: float) -> warmup.SendRecord:
         """Count an own request as sent to a runner."""
         backend.began(now_s)
-        return self.warmup.send(backend.instance, now_s)
+        return self.warmup.record_send(backend.instance, now_s)
 
     def refused(self, backend: Backend, now_s: float) -> None:
         """Note that a rank did not run a request.
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -306,17 +306,20 @@
                 lambda: self._leaves(backend, send, exchange.until_s),
             ) as reply:
                 if reply.head.status == MISDIRECTED:
-                    send.take_back()
+                    send.discard()
                 await self._give_reply(exchange, backend, reply)
         finally:
-            if not send.has_left:
-                send.take_back()
+            if not send.is_sent:
+                send.discard()
             if is_trial:
                 self.known.backoffs.end_probe(backend.instance)
             backend.ended()
 
     def _leaves(
-        self, backend: backends.Backend, send: warmup.Send, until_s: float
+        self,
+        backend: backends.Backend,
+        send: warmup.SendRecord,
+        until_s: float,
     ) -> None:
         """Note that a request leaves now, if its runner still wants it.
 
@@ -332,7 +335,7 @@
         if not self.known.backoffs.may_send(backend.instance, now_s):
             self.app.metrics.incr('rest.held_back')
             raise errors.RunnersResting('the runner wants none, since placed')
-        send.leaves(now_s)
+        send.mark_sent(now_s)
 
     def _runner_headers(
         self, exchange: Exchange, backend: backends.Backend
--- a/mountridge/routing/warmup.py
+++ b/mountridge/routing/warmup.py
@@ -18,7 +18,7 @@
 from mountridge.documents import instances
 from mountridge.net import lasthop
 
-__all__ = ['NEVER', 'Parts', 'Send', 'WINDOW_S', 'Warmup', 'parts']
+__all__ = ['NEVER', 'Parts', 'SendRecord', 'WINDOW_S', 'Warmup', 'parts']
 
 #: Sends are bounded in each second. A little longer, since the bytes of two
 #: sends may leave a busy box that much closer together than they were written.
@@ -72,21 +72,21 @@
     return Parts(first, 1, left // 2, left - left // 2)
 
 
-class Send:
+class SendRecord:
     """One request to a runner, and when it has left or will have."""
 
-    __slots__ = ('at_s', 'has_left')
+    __slots__ = ('at_s', 'is_sent')
 
     def __init__(self, at_s: float):
         self.at_s = at_s
-        self.has_left = False
+        self.is_sent = False
 
-    def leaves(self, now_s: float) -> None:
+    def mark_sent(self, now_s: float) -> None:
         """Note that its first bytes are written now."""
         self.at_s = now_s
-        self.has_left = True
+        self.is_sent = True
 
-    def take_back(self) -> None:
+    def discard(self) -> None:
         """Count it no more: the runner that was meant did not get it."""
         self.at_s = float('-inf')
 
@@ -120,7 +120,7 @@
         self._parts: dict[tuple[str, str, str], int] = {}
         self._first: set[tuple[str, str, str]] = set()
         self._deal = 1
-        self._sends: dict[str, collections.deque[Send]] = {}
+        self._sends: dict[str, collections.deque[SendRecord]] = {}
         self._cleared_s = float('-inf')
 
     # What is followed.
@@ -253,9 +253,11 @@
         first_s = max(self._quiet_until_s, now_s, sorted(places)[place])
         return first_s + rounds * WINDOW_S
 
-    def send(self, runner: instances.Instance, now_s: float) -> Send:
+    def record_send(
+        self, runner: instances.Instance, now_s: float
+    ) -> SendRecord:
         """Count a request that is about to be sent, and return the count."""
-        made = Send(now_s + LEAVES_S)
+        made = SendRecord(now_s + LEAVES_S)
         if runner.service not in self._bounds:
             return made
         if now_s - self._cleared_s > KEPT_S:
