--- a/bench/placing.py
+++ b/bench/placing.py
@@ -231,8 +231,8 @@
         for n in range(runners)
     )
     known.follow_gateways(halls)
-    known.warmup.follow_gateways(halls, 0.0)
-    known.warmup.follow_services({'s': cold_per_s})
+    known.warmup.update_gateways(halls, 0.0)
+    known.warmup.update_services({'s': cold_per_s})
     return known
 
 
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -120,8 +120,8 @@
 )
 def bear_any(context):
     for known in context.site.known:
-        known.warmup.follow_services({'s': 0.0})
-        known.warmup.follow_gateways(context.site.halls, 0.0)
+        known.warmup.update_services({'s': 0.0})
+        known.warmup.update_gateways(context.site.halls, 0.0)
 
 
 @then('each request goes where it went before there was a bound')
--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -86,11 +86,13 @@
     async def start(self, name):
         await trio.sleep(self.rng.uniform(*BEGIN_S))
         per_s, over, slack = self.bound
-        own = warmup.Warmup(name, self.names[name], over, slack, self.now_s())
+        own = warmup.WarmupLimiter(
+            name, self.names[name], over, slack, self.now_s()
+        )
         known = backends.Backends(name, own)
         await trio.sleep(self.rng.uniform(*VIEW_S))
-        own.follow_services({'s': per_s})
-        own.follow_gateways(self.names, self.now_s())
+        own.update_services({'s': per_s})
+        own.update_gateways(self.names, self.now_s())
         known.follow_gateways(self.names)
         known.follow(self.listed())
         service = types.SimpleNamespace(engine=routes.Engine(SLOTS, 1, 8))
@@ -298,12 +300,12 @@
         per_s, over, slack = self.bears
         gateway.up_s, gateway.is_cut = now_s, False
         began_s = now_s if now_s else float('-inf')
-        gateway.own = warmup.Warmup(
+        gateway.own = warmup.WarmupLimiter(
             gateway.name, gateway.hall, over, slack, began_s
         )
-        gateway.own.follow_services({'s': per_s})
+        gateway.own.update_services({'s': per_s})
         self.register(gateway, now_s)
-        gateway.own.follow_gateways(self.views[-1][1], now_s)
+        gateway.own.update_gateways(self.views[-1][1], now_s)
 
     def register(self, gateway, now_s):
         view = {**self.views[-1][1], gateway.name: gateway.hall}
@@ -346,16 +348,16 @@
                 if not gateway.is_cut and self.rng.random() < TRY_S:
                     lag_s = self.rng.uniform(0, LAG_S)
                     seen = [v for at, v in self.views if at <= now_s - lag_s]
-                    gateway.own.follow_gateways(seen[-1], now_s)
+                    gateway.own.update_gateways(seen[-1], now_s)
                 self.send(gateway, now_s)
 
     def send(self, gateway, now_s):
         at_s = now_s + self.rng.uniform(0, TRY_S)
         for runner in self.runners:
-            gateway.own.deal(at_s)
-            if not gateway.own.part(runner, at_s):
+            gateway.own.generation(at_s)
+            if not gateway.own.quota(runner, at_s):
                 continue
-            if gateway.own.is_free(runner, at_s):
+            if gateway.own.has_quota_left(runner, at_s):
                 send = gateway.own.record_send(runner, at_s)
                 late_s = at_s + self.rng.choice([0.0, 0.001, 0.3])
                 send.mark_sent(late_s)
@@ -471,12 +473,12 @@
     listed = [_runner(n, f'h{n % halls}') for n in range(runners)]
     names = _gateways(gateways, halls)
     for name, hall in names.items():
-        own = warmup.Warmup(name, hall, over, slack)
-        own.follow_services({'s': per_s})
-        own.follow_gateways(names, 0.0)
+        own = warmup.WarmupLimiter(name, hall, over, slack)
+        own.update_services({'s': per_s})
+        own.update_gateways(names, 0.0)
         for runner in listed:
-            part = own.part(runner, 0.0)
-            is_first = own.is_first(runner)
+            part = own.quota(runner, 0.0)
+            is_first = own.is_primary(runner)
             held = context.parts.setdefault((runner, len(names) > 1), {})
             if part:
                 held[name, hall] = (part, is_first)
@@ -511,9 +513,9 @@
 
     def __init__(self, runners, started_s=float('-inf')):
         self.rng = random.Random(5)
-        self.own = warmup.Warmup('g-0', 'h0', 1.5, 5.0, started_s)
-        self.own.follow_services({'s': 14.0})
-        self.own.follow_gateways(_gateways(39, 3), 0.0)
+        self.own = warmup.WarmupLimiter('g-0', 'h0', 1.5, 5.0, started_s)
+        self.own.update_services({'s': 14.0})
+        self.own.update_gateways(_gateways(39, 3), 0.0)
         self.known = backends.Backends('g-0', self.own)
         self.known.follow(runners)
         service = types.SimpleNamespace(engine=None)
@@ -558,11 +560,11 @@
 
 def _with_part(part, count):
     """Return runners of which the gateway has such a part."""
-    own = warmup.Warmup('g-0', 'h0', 1.5, 5.0)
-    own.follow_services({'s': 14.0})
-    own.follow_gateways(_gateways(39, 3), 0.0)
+    own = warmup.WarmupLimiter('g-0', 'h0', 1.5, 5.0)
+    own.update_services({'s': 14.0})
+    own.update_gateways(_gateways(39, 3), 0.0)
     runners = [_runner(number) for number in range(200)]
-    return [r for r in runners if own.part(r, 0.0) == part][:count]
+    return [r for r in runners if own.quota(r, 0.0) == part][:count]
 
 
 @given('a gateway that may send 1 request in a window to each of 2 runners')
@@ -736,10 +738,10 @@
         # Of a hall that is lost only its own gateways begin anew.
         is_new = has_begun and hall == 'h0'
         began_s = 0.0 if is_new else float('-inf')
-        own = warmup.Warmup(name, hall, over, slack, began_s)
-        own.follow_services({'s': per_s})
+        own = warmup.WarmupLimiter(name, hall, over, slack, began_s)
+        own.update_services({'s': per_s})
         if not is_new:
-            own.follow_gateways(context.names, 0.0)
+            own.update_gateways(context.names, 0.0)
         context.owns[name] = own
 
 
@@ -755,11 +757,13 @@
             for other, hall in context.names.items()
             if other == name or not (lacks_all or hall == 'h0')
         }
-        own.follow_gateways(view, 0.0)
-        own.deal(after_s)
+        own.update_gateways(view, 0.0)
+        own.generation(after_s)
         for number in range(10):
             runner = _runner(number)
-            while own.part(runner, after_s) and own.is_free(runner, after_s):
+            while own.quota(runner, after_s) and own.has_quota_left(
+                runner, after_s
+            ):
                 own.record_send(runner, after_s).mark_sent(after_s)
                 context.sent[runner.instance_id] += 1
 
@@ -772,8 +776,8 @@
 
 @given('a gateway that sends all that it may to a runner of its own')
 def make_lone_gateway(context):
-    context.own = warmup.Warmup('g-0', 'h0', 1.0, 0.0)
-    context.own.follow_gateways(_gateways(2, 1), 0.0)
+    context.own = warmup.WarmupLimiter('g-0', 'h0', 1.0, 0.0)
+    context.own.update_gateways(_gateways(2, 1), 0.0)
     context.sent_s = []
 
 
@@ -783,13 +787,13 @@
 )
 def raise_bound(context, before, after_s, after):
     runner = _runner(1)
-    context.own.follow_services({'s': before})
+    context.own.update_services({'s': before})
     for step in range(int(200 * after_s)):
         now_s = step / 100
         if now_s == after_s:
-            context.own.follow_services({'s': after})
-            context.part = context.own.part(runner, now_s)
-        if context.own.is_free(runner, now_s):
+            context.own.update_services({'s': after})
+            context.part = context.own.quota(runner, now_s)
+        if context.own.has_quota_left(runner, now_s):
             context.own.record_send(runner, now_s).mark_sent(now_s)
             context.sent_s.append(now_s)
 
@@ -810,10 +814,10 @@
     names = {'g-0': 'h1', 'g-1': 'h1'}
     context.shares = []
     for name, hall in names.items():
-        own = warmup.Warmup(name, hall, 1.0, 0.0)
-        own.follow_services({'s': bound})
-        own.follow_gateways(names, 0.0)
-        context.shares.append(own.part(_runner(1, 'h0'), 0.0))
+        own = warmup.WarmupLimiter(name, hall, 1.0, 0.0)
+        own.update_services({'s': bound})
+        own.update_gateways(names, 0.0)
+        context.shares.append(own.quota(_runner(1, 'h0'), 0.0))
 
 
 @then('it has an owner, and its parts add up to {most:d} at most')
@@ -825,26 +829,26 @@
 def know_runners(context):
     context.own = _one_of_39()
     context.before = [
-        context.own.part(_runner(n, 'h0'), 0.0) for n in range(200)
+        context.own.quota(_runner(n, 'h0'), 0.0) for n in range(200)
     ]
 
 
 @when('the runner starts again under its id in hall h1')
 def move_runners(context):
     context.after = [
-        context.own.part(_runner(n, 'h1'), 0.0) for n in range(200)
+        context.own.quota(_runner(n, 'h1'), 0.0) for n in range(200)
     ]
 
 
 @then('the gateway has the part there of one that never knew the other place')
 def check_moved(context):
     fresh = _one_of_39()
-    expected = [fresh.part(_runner(n, 'h1'), 0.0) for n in range(200)]
+    expected = [fresh.quota(_runner(n, 'h1'), 0.0) for n in range(200)]
     assert context.after == expected and expected != context.before
 
 
 def _one_of_39():
-    own = warmup.Warmup('g-0', 'h0', 1.5, 5.0)
-    own.follow_services({'s': 14.0})
-    own.follow_gateways(_gateways(39, 3), 0.0)
+    own = warmup.WarmupLimiter('g-0', 'h0', 1.5, 5.0)
+    own.update_services({'s': 14.0})
+    own.update_gateways(_gateways(39, 3), 0.0)
     return own
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -67,7 +67,7 @@
         bounds = app.settings['bounds']
         self.backends = backends.Backends(
             app.name,
-            warmup.Warmup(
+            warmup.WarmupLimiter(
                 app.name,
                 app.settings['hall'],
                 bounds['cold_over'],
@@ -169,7 +169,7 @@
             {m.name: m.hall for m in gateways if m.state == 'live'}
         )
         # Those that leave still send what they were given before.
-        self.backends.warmup.follow_gateways(
+        self.backends.warmup.update_gateways(
             {m.name: m.hall for m in gateways}, self.app.now_s()
         )
         for address in self.backends.follow(registered):
@@ -226,7 +226,7 @@
             logger.error('routes unreadable', reason=str(problem))
             return
         self.index = routes.index(table)
-        self.backends.warmup.follow_services(
+        self.backends.warmup.update_services(
             {service.name: service.cold_per_s for service in table.services}
         )
         self.forwarder.routes_known.set()
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -65,12 +65,12 @@
     """All runners of all services, following the view."""
 
     def __init__(
-        self, name: str = '', bound: warmup.Warmup | None = None
+        self, name: str = '', bound: warmup.WarmupLimiter | None = None
     ) -> None:
         #: The gateway that this is, by whose name it has its own part.
         self.name = name
         #: Its part of the requests to runners that can turn cold.
-        self.warmup = bound or warmup.Warmup(name)
+        self.warmup = bound or warmup.WarmupLimiter(name)
         #: What runners have asked of this gateway.
         self.backoffs = backoffs.Backoffs()
         self._gateways: dict[str, str] = {}
@@ -335,9 +335,9 @@
         drawn from those that all their unseen requests will fill.
         """
         sound = self._sound(service, tried, was_refused, now_s)
-        if self.warmup.is_bound(service):
-            is_free = self.warmup.is_free
-            sound = [b for b in sound if is_free(b.instance, now_s)]
+        if self.warmup.is_limited(service):
+            has_quota_left = self.warmup.has_quota_left
+            sound = [b for b in sound if has_quota_left(b.instance, now_s)]
         if not sound:
             return None
         return self._best(service, hall, sound, gateways, rng, now_s)
@@ -352,12 +352,12 @@
         now_s: float,
     ) -> Picked:
         """Return which of the runners that may be taken gets a request."""
-        is_bound = self.warmup.is_bound(service)
+        is_limited = self.warmup.is_limited(service)
         returning = self._returning(now_s)
 
         def occupancy(backend: Backend) -> float:
             more = returning.get(backend.instance.hall, 0.0)
-            if is_bound and backend.instance.is_cold:
+            if is_limited and backend.instance.is_cold:
                 more += COLD_COST
             return backend.occupancy(self.rest_s, now_s) + more
 
@@ -367,7 +367,7 @@
 
         unseen = self._others_unseen(service, gateways, now_s)
         best = self._of_own_part(sound, occupancy, rng)
-        if best is None and is_bound:
+        if best is None and is_limited:
             near = [b for b in sound if b.instance.hall == hall]
             sound = [b for b in near if cost(b) < PART_FULL] or sound
             # The others' go to all runners, not only to those owned here.
@@ -439,7 +439,7 @@
     def _open_to_us(self, service: str, now_s: float) -> list[Backend]:
         """Return the runners that may get requests from this gateway."""
         listed = self.of_service(service)
-        if not self.warmup.is_bound(service):
+        if not self.warmup.is_limited(service):
             return listed
         owned = self._owned(service, now_s)
         return [b for b in listed if b.instance.instance_id in owned]
@@ -450,7 +450,7 @@
         Kept until gateways or runners change: looked up for each of 72
         runners, they would take half of the time of placing.
         """
-        deal = self.warmup.deal(now_s)
+        deal = self.warmup.generation(now_s)
         if self._owned_deal != deal:
             self._owned_deal = deal
             self._owned_ids.clear()
@@ -458,7 +458,7 @@
             self._owned_ids[service] = frozenset(
                 backend.instance.instance_id
                 for backend in self._by_service.get(service, [])
-                if self.warmup.part(backend.instance, now_s)
+                if self.warmup.quota(backend.instance, now_s)
             )
         return self._owned_ids[service]
 
@@ -475,7 +475,9 @@
         gateway may send any to.
         """
         sound = self._sound(service, tried, was_refused, now_s)
-        return self.warmup.turn_s([b.instance for b in sound], 0, now_s)
+        return self.warmup.earliest_send_s(
+            [b.instance for b in sound], 0, now_s
+        )
 
     def turn_s(
         self, service: str, tried: set[str], ahead: int, now_s: float
@@ -493,12 +495,12 @@
             and backend.instance.hall not in self.halls_out
             and backend.instance.instance_id not in tried
         ]
-        return self.warmup.turn_s(runners, ahead, now_s)
+        return self.warmup.earliest_send_s(runners, ahead, now_s)
 
     def _is_own(self, instance: instances.Instance) -> bool:
         """Return whether this gateway fills a runner first."""
-        if self.warmup.is_bound(instance.service):
-            return self.warmup.is_first(instance)
+        if self.warmup.is_limited(instance.service):
+            return self.warmup.is_primary(instance)
         return instance.instance_id in self._own_part
 
     def _of_own_part(
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -72,7 +72,7 @@
         :raises NoRunner: there is none, or none registers in time.
         :raises RunnersCold: those there are get no more by then.
         """
-        if self.known.warmup.is_bound(exchange.service):
+        if self.known.warmup.is_limited(exchange.service):
             picked = await self._pick_in_turn(exchange)
         else:
             picked = await self._pick_now(exchange)
@@ -241,7 +241,7 @@
         if over_s is not None:
             return self._all_rest(over_s - self._app.now_s())
         service = exchange.service
-        is_bound = self.known.warmup.is_bound(service)
+        is_bound = self.known.warmup.is_limited(service)
         if is_bound and not self.known.owns_any(service, self._app.now_s()):
             if self._known(exchange):
                 return errors.RunnersCold('all have other owners')
--- a/mountridge/routing/warmup.py
+++ b/mountridge/routing/warmup.py
@@ -18,7 +18,14 @@
 from mountridge.documents import instances
 from mountridge.net import lasthop
 
-__all__ = ['NEVER', 'Parts', 'SendRecord', 'WINDOW_S', 'Warmup', 'parts']
+__all__ = [
+    'NEVER',
+    'Parts',
+    'SendRecord',
+    'WINDOW_S',
+    'WarmupLimiter',
+    'parts',
+]
 
 #: Sends are bounded in each second. A little longer, since the bytes of two
 #: sends may leave a busy box that much closer together than they were written.
@@ -91,7 +98,7 @@
         self.at_s = float('-inf')
 
 
-class Warmup:
+class WarmupLimiter:
     """The part that one gateway has of the runners that can turn cold."""
 
     def __init__(
@@ -125,7 +132,7 @@
 
     # What is followed.
 
-    def follow_services(self, cold_per_s: dict[str, float]) -> None:
+    def update_services(self, cold_per_s: dict[str, float]) -> None:
         """Follow the routes: what a cold runner bears, by service.
 
         0 stands for any number: nothing is bounded then.
@@ -137,7 +144,7 @@
         }
         self._deal_anew()
 
-    def follow_gateways(self, halls: dict[str, str], now_s: float) -> None:
+    def update_gateways(self, halls: dict[str, str], now_s: float) -> None:
         """Follow the view: the halls of all gateways that may send."""
         before = dict(self._halls)
         self._halls.update(halls)
@@ -165,17 +172,17 @@
 
     # Who owns what.
 
-    def is_bound(self, service: str) -> bool:
+    def is_limited(self, service: str) -> bool:
         """Return whether the runners of a service can turn cold."""
         return service in self._bounds
 
-    def deal(self, now_s: float) -> int:
+    def generation(self, now_s: float) -> int:
         """Return a number that is another one once parts are others."""
         if now_s >= self._next_forget_s:
             self._forget(now_s)
         return self._deal
 
-    def part(self, runner: instances.Instance, now_s: float) -> int:
+    def quota(self, runner: instances.Instance, now_s: float) -> int:
         """Return how many requests it may get from here in a window.
 
         0 where it has other owners, by the last `deal`.
@@ -186,7 +193,7 @@
             self._parts[_place(runner)] = found
         return found if now_s >= self._settled_s else min(1, found)
 
-    def is_first(self, runner: instances.Instance) -> bool:
+    def is_primary(self, runner: instances.Instance) -> bool:
         """Return whether this gateway is its first owner.
 
         Known once its `part` is.
@@ -216,13 +223,13 @@
 
     # What was sent.
 
-    def is_free(self, runner: instances.Instance, now_s: float) -> bool:
+    def has_quota_left(self, runner: instances.Instance, now_s: float) -> bool:
         """Return whether an owned runner may get one more request now."""
         if now_s < self._quiet_until_s:
             return False
         if runner.instance_id not in self._sends:
             return True
-        most = self.part(runner, now_s)
+        most = self.quota(runner, now_s)
         last_s = self._last_s(runner, most)
         return len(last_s) < most or last_s[0] + WINDOW_S <= now_s
 
@@ -233,7 +240,7 @@
             return []
         return sorted(send.at_s for send in sends)[-most:]
 
-    def turn_s(
+    def earliest_send_s(
         self, runners: list[instances.Instance], ahead: int, now_s: float
     ) -> float:
         """Return when a request can be sent that has ``ahead`` before it.
@@ -242,7 +249,7 @@
         """
         places: list[float] = []
         for runner in runners:
-            most = self.part(runner, now_s)
+            most = self.quota(runner, now_s)
             if most:
                 last_s = self._last_s(runner, most)
                 places += [at_s + WINDOW_S for at_s in last_s]
