--- a/mountridge/routing/warmup.py
+++ b/mountridge/routing/warmup.py
@@ -1,15 +1,15 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""How many requests a runner that can turn cold gets from all gateways.
-
-A cold runner bears few requests a second and falls over above that. It may
-turn cold at any moment, and gateways hear of it seconds later, or never where
-they are cut off. So the bound holds at all times for each runner of such a
-service, and without a message: each runner has owners among the gateways,
-chosen by rendezvous hashing of names, and each sends few requests in a
-window. The owners together send at most half of the bound. Where gateways
-have two different views of the gateways, two sets of owners send; how much
-more they may differ is reckoned in docs/design/warmup.md.
+"""Limits the requests that a runner that can be cold gets from all gateways.
+
+A cold runner sustains few requests a second and fails above that. It may turn
+cold at any moment, and gateways learn of it seconds later, or never while they
+are partitioned. So the limit always applies to each runner of such a service,
+and needs no messages: each runner has owners among the gateways, chosen by
+rendezvous hashing of names, and each owner may send a quota of requests in a
+window. The quotas of all owners add up to at most half of the limit. While
+gateways hold two different views of the gateways, two sets of owners may send;
+docs/design/warmup.md bounds how much further they may differ.
 """
 
 import collections
@@ -19,68 +19,65 @@
 from mountridge.net import lasthop
 
 __all__ = [
-    'NEVER',
-    'Parts',
-    'SendRecord',
-    'WINDOW_S',
-    'WarmupLimiter',
-    'parts',
-]
-
-#: Sends are bounded in each second. A little longer, since the bytes of two
+    'NEVER', 'Quotas', 'SendRecord', 'WINDOW_S', 'WarmupLimiter',
+    'compute_quotas',
+]  # fmt: skip
+
+#: Sends are limited in each second. A little longer, since the bytes of two
 #: sends may leave a busy box that much closer together than they were written.
 WINDOW_S = 1.05
-#: A send is counted when it is decided, as if it left at the last moment: a
-#: connection that is not made by then is given up.
-LEAVES_S = lasthop.CONNECT_S
-#: A gateway that has left the view is still counted for so long. Most come
-#: back under their name within it; while all gateways count the same names
-#: they choose the same owners.
-KEPT_S = 30.0
-#: For a lease and so long after its start a gateway sends one request at most
-#: to a runner in a window. The view that it begins with may lack gateways that
-#: start with it, after the loss of a hall all but itself; by then it has
-#: theirs, up to 2 s after their leases are known.
-VIEW_LATE_S = 2.0
-#: The owner that fills a runner first has one in this many of the half of the
-#: bound. It knows its own requests there without a report.
-FIRST_PART = 4
-#: A time that is never reached: no runner is owned, nothing to be forgotten.
+#: A send is counted from when it is decided, at the latest time at which it
+#: may leave: a connection that is not made by then is given up.
+MAX_SEND_DELAY_S = lasthop.CONNECT_S
+#: A gateway that has left the view still counts as an owner for so long. Most
+#: come back under their name within it, and gateways that count the same names
+#: choose the same owners.
+RETENTION_S = 30.0
+#: How long views may lag behind leases. For a lease and so long after its
+#: start a gateway sends at most one request to a runner in a window: its first
+#: view may lack gateways that start with it, after the loss of a hall all but
+#: itself.
+VIEW_DELAY_S = 2.0
+#: The primary owner gets at least one in this many of the requests that all
+#: owners may send. It fills the runner first, and knows its own requests there
+#: without a report.
+PRIMARY_DIVISOR = 4
+#: A time that is never reached: no runner is owned, nothing expires.
 NEVER = float('inf')
 
 
-class Parts(typing.NamedTuple):
-    """Requests in one window to one runner, by what the gateway is to it."""
+class Quotas(typing.NamedTuple):
+    """Requests in one window to one runner, by role of the gateway."""
 
-    first: int  # of its first owner, which is in its hall
-    others: int  # of each other owner
-    near: int  # other owners in its hall
-    away: int  # owners in other halls
+    primary: int  # of its primary owner, which is in its hall
+    secondary: int  # of each other owner
+    local_owners: int  # other owners in its hall
+    remote_owners: int  # owners in other halls
 
 
-def parts(bound: float, near: int, away: int) -> Parts:
-    """Return the parts of half of ``bound`` requests a second.
+def compute_quotas(limit_per_s: float, local: int, remote: int) -> Quotas:
+    """Return the quotas that share out half of ``limit_per_s``.
 
-    ``near`` gateways are in the hall of the runner and ``away`` elsewhere.
+    ``local`` gateways are in the hall of the runner and ``remote`` elsewhere.
     Few gateways all own each runner. Of many, half of the owners are in
-    other halls, so that no loss of a hall takes all of them; for a bound
-    below 4 there is one owner alone.
+    other halls, so that no loss of a hall takes all of them; for a limit
+    below 4 there is a single owner.
     """
-    half = max(1, int(bound) // 2)
-    if not near:
-        return Parts(0, max(1, half // max(1, away)), 0, min(half, away))
-    others = max(1, near + away - 1)
-    first = max(1, half // FIRST_PART, half // (others + 1))
-    left = half - first
-    if others <= left:
-        return Parts(first, left // others, near, away)
-    if not away:
-        return Parts(first, 1, left, 0)
-    return Parts(first, 1, left // 2, left - left // 2)
+    half = max(1, int(limit_per_s) // 2)
+    if not local:
+        return Quotas(0, max(1, half // max(1, remote)), 0, min(half, remote))
+    others = max(1, local + remote - 1)
+    primary = max(1, half // PRIMARY_DIVISOR, half // (others + 1))
+    remaining = half - primary
+    if others <= remaining:
+        return Quotas(primary, remaining // others, local, remote)
+    if not remote:
+        return Quotas(primary, 1, remaining, 0)
+    return Quotas(primary, 1, remaining // 2, remaining - remaining // 2)
 
 
 class SendRecord:
-    """One request to a runner, and when it has left or will have."""
+    """One request to a runner, and when it is sent at the latest."""
 
     __slots__ = ('at_s', 'is_sent')
 
@@ -89,17 +86,17 @@
         self.is_sent = False
 
     def mark_sent(self, now_s: float) -> None:
-        """Note that its first bytes are written now."""
+        """Record that its first bytes are written now."""
         self.at_s = now_s
         self.is_sent = True
 
     def discard(self) -> None:
-        """Count it no more: the runner that was meant did not get it."""
+        """Stop counting it: the intended runner did not get the request."""
         self.at_s = float('-inf')
 
 
 class WarmupLimiter:
-    """The part that one gateway has of the runners that can turn cold."""
+    """Quotas of one gateway for runners that can be cold, and their use."""
 
     def __init__(
         self,
@@ -112,116 +109,121 @@
     ):
         self._name, self._hall = name, hall
         self._over, self._slack = over, slack
-        #: What a former life of this process sent in its last second counts
-        #: too, and is not known.
+        #: Sends of a previous incarnation of this process in its last second
+        #: count too, and are not known.
         self._quiet_until_s = started_s + WINDOW_S
-        self._settled_s = started_s + lease_s + VIEW_LATE_S
+        self._settled_s = started_s + lease_s + VIEW_DELAY_S
         #: Halls of all gateways that may be owners, by name.
         self._halls = {name: hall}
-        #: When those of them that the view no longer has are forgotten.
-        self._forget_s: dict[str, float] = {}
-        self._next_forget_s = NEVER
-        self._bounds: dict[str, float] = {}
+        #: When those of them that have left the view expire.
+        self._expires_s: dict[str, float] = {}
+        self._next_expiry_s = NEVER
+        self._limits_per_s: dict[str, float] = {}
         #: Sends in a window, by id, service and hall of a runner; 0 for those
         #: of other owners.
-        self._parts: dict[tuple[str, str, str], int] = {}
-        self._first: set[tuple[str, str, str]] = set()
-        self._deal = 1
+        self._quotas: dict[tuple[str, str, str], int] = {}
+        self._primary: set[tuple[str, str, str]] = set()
+        self._generation = 1
         self._sends: dict[str, collections.deque[SendRecord]] = {}
-        self._cleared_s = float('-inf')
+        self._purged_s = float('-inf')
 
-    # What is followed.
+    # Updates of routes and of the view.
 
     def update_services(self, cold_per_s: dict[str, float]) -> None:
-        """Follow the routes: what a cold runner bears, by service.
+        """Update what a cold runner sustains, in requests/s by service.
 
-        0 stands for any number: nothing is bounded then.
+        0 stands for any number: such a service is not limited.
         """
-        self._bounds = {
+        self._limits_per_s = {
             service: per_s * self._over + self._slack
             for service, per_s in cold_per_s.items()
             if per_s > 0
         }
-        self._deal_anew()
+        self._reassign()
 
     def update_gateways(self, halls: dict[str, str], now_s: float) -> None:
-        """Follow the view: the halls of all gateways that may send."""
+        """Update the halls of all gateways that may send, by name."""
         before = dict(self._halls)
         self._halls.update(halls)
         for name in self._halls.keys() - halls.keys() - {self._name}:
-            self._forget_s.setdefault(name, now_s + KEPT_S)
-        for name in self._forget_s.keys() & halls.keys():
-            del self._forget_s[name]
-        self._next_forget_s = min(self._forget_s.values(), default=NEVER)
+            self._expires_s.setdefault(name, now_s + RETENTION_S)
+        for name in self._expires_s.keys() & halls.keys():
+            del self._expires_s[name]
+        self._next_expiry_s = min(self._expires_s.values(), default=NEVER)
         if before != self._halls:
-            self._deal_anew()
+            self._reassign()
 
-    def _forget(self, now_s: float) -> None:
-        """Forget gateways that left the view long ago."""
-        for name, until_s in list(self._forget_s.items()):
+    def _expire(self, now_s: float) -> None:
+        """Drop gateways that left the view `RETENTION_S` ago."""
+        for name, until_s in list(self._expires_s.items()):
             if until_s <= now_s:
-                del self._forget_s[name]
+                del self._expires_s[name]
                 del self._halls[name]
-        self._next_forget_s = min(self._forget_s.values(), default=NEVER)
-        self._deal_anew()
+        self._next_expiry_s = min(self._expires_s.values(), default=NEVER)
+        self._reassign()
 
-    def _deal_anew(self) -> None:
-        self._deal += 1
-        self._parts.clear()
-        self._first.clear()
+    def _reassign(self) -> None:
+        """Begin a new assignment of owners; quotas are computed on demand."""
+        self._generation += 1
+        self._quotas.clear()
+        self._primary.clear()
 
-    # Who owns what.
+    # Ownership.
 
     def is_limited(self, service: str) -> bool:
-        """Return whether the runners of a service can turn cold."""
-        return service in self._bounds
+        """Return whether the runners of a service can be cold."""
+        return service in self._limits_per_s
 
     def generation(self, now_s: float) -> int:
-        """Return a number that is another one once parts are others."""
-        if now_s >= self._next_forget_s:
-            self._forget(now_s)
-        return self._deal
+        """Return the assignment generation; it differs once quotas change."""
+        if now_s >= self._next_expiry_s:
+            self._expire(now_s)
+        return self._generation
 
     def quota(self, runner: instances.Instance, now_s: float) -> int:
-        """Return how many requests it may get from here in a window.
+        """Return how many requests this gateway may send it in a window.
 
-        0 where it has other owners, by the last `deal`.
+        0 where it has other owners, as of the last call of `generation`.
         """
-        found = self._parts.get(_place(runner))
+        found = self._quotas.get(_ownership_key(runner))
         if found is None:
-            found = self._find_part(runner)
-            self._parts[_place(runner)] = found
+            found = self._find_quota(runner)
+            self._quotas[_ownership_key(runner)] = found
         return found if now_s >= self._settled_s else min(1, found)
 
     def is_primary(self, runner: instances.Instance) -> bool:
-        """Return whether this gateway is its first owner.
+        """Return whether this gateway is its primary owner.
 
-        Known once its `part` is.
+        Valid only after a call of `quota` for the runner.
         """
-        return _place(runner) in self._first
+        return _ownership_key(runner) in self._primary
 
-    def _find_part(self, runner: instances.Instance) -> int:
+    def _find_quota(self, runner: instances.Instance) -> int:
         # Loaded only by processes that need it.
         import xxhash
 
-        def draw(name: str) -> int:
+        def weigh(name: str) -> int:
             names = f'{name}\0{runner.instance_id}'
             return xxhash.xxh3_64_intdigest(names.encode())
 
-        is_near = self._hall == runner.hall
-        near = [n for n, hall in self._halls.items() if hall == runner.hall]
-        away = [n for n, hall in self._halls.items() if hall != runner.hall]
-        found = parts(self._bounds[runner.service], len(near), len(away))
-        mine = draw(self._name)
-        ahead = sum(draw(name) > mine for name in (near if is_near else away))
-        if not is_near:
-            return found.others if ahead < found.away else 0
-        if ahead == 0:
-            self._first.add(_place(runner))
-            return found.first
-        return found.others if ahead <= found.near else 0
-
-    # What was sent.
+        is_local = self._hall == runner.hall
+        local = [n for n, hall in self._halls.items() if hall == runner.hall]
+        remote = [n for n, hall in self._halls.items() if hall != runner.hall]
+        quotas = compute_quotas(
+            self._limits_per_s[runner.service], len(local), len(remote)
+        )
+        own = weigh(self._name)
+        rank = sum(
+            weigh(name) > own for name in (local if is_local else remote)
+        )
+        if not is_local:
+            return quotas.secondary if rank < quotas.remote_owners else 0
+        if rank == 0:
+            self._primary.add(_ownership_key(runner))
+            return quotas.primary
+        return quotas.secondary if rank <= quotas.local_owners else 0
+
+    # Sends.
 
     def has_quota_left(self, runner: instances.Instance, now_s: float) -> bool:
         """Return whether an owned runner may get one more request now."""
@@ -229,55 +231,57 @@
             return False
         if runner.instance_id not in self._sends:
             return True
-        most = self.quota(runner, now_s)
-        last_s = self._last_s(runner, most)
-        return len(last_s) < most or last_s[0] + WINDOW_S <= now_s
-
-    def _last_s(self, runner: instances.Instance, most: int) -> list[float]:
-        """Return the times of the last ``most`` sends to it, in order."""
+        quota = self.quota(runner, now_s)
+        sent_s = self._last_sends_s(runner, quota)
+        return len(sent_s) < quota or sent_s[0] + WINDOW_S <= now_s
+
+    def _last_sends_s(
+        self, runner: instances.Instance, count: int
+    ) -> list[float]:
+        """Return the times of the last ``count`` sends to it, in order."""
         sends = self._sends.get(runner.instance_id)
         if not sends:
             return []
-        return sorted(send.at_s for send in sends)[-most:]
+        return sorted(send.at_s for send in sends)[-count:]
 
     def earliest_send_s(
         self, runners: list[instances.Instance], ahead: int, now_s: float
     ) -> float:
-        """Return when a request can be sent that has ``ahead`` before it.
+        """Return when a request with ``ahead`` requests before it can be sent.
 
-        `NEVER` where none of the ``runners`` is owned here.
+        `NEVER` where this gateway owns none of the ``runners``.
         """
-        places: list[float] = []
+        slots_s: list[float] = []
         for runner in runners:
-            most = self.quota(runner, now_s)
-            if most:
-                last_s = self._last_s(runner, most)
-                places += [at_s + WINDOW_S for at_s in last_s]
-                places += [now_s] * (most - len(last_s))
-        if not places:
+            quota = self.quota(runner, now_s)
+            if quota:
+                sent_s = self._last_sends_s(runner, quota)
+                slots_s += [at_s + WINDOW_S for at_s in sent_s]
+                slots_s += [now_s] * (quota - len(sent_s))
+        if not slots_s:
             return NEVER
-        rounds, place = divmod(ahead, len(places))
-        first_s = max(self._quiet_until_s, now_s, sorted(places)[place])
-        return first_s + rounds * WINDOW_S
+        windows, slot = divmod(ahead, len(slots_s))
+        first_s = max(self._quiet_until_s, now_s, sorted(slots_s)[slot])
+        return first_s + windows * WINDOW_S
 
     def record_send(
         self, runner: instances.Instance, now_s: float
     ) -> SendRecord:
-        """Count a request that is about to be sent, and return the count."""
-        made = SendRecord(now_s + LEAVES_S)
-        if runner.service not in self._bounds:
-            return made
-        if now_s - self._cleared_s > KEPT_S:
-            self._clear(now_s)
-        found = self._sends.setdefault(runner.instance_id, collections.deque())
-        while found and found[0].at_s <= now_s - WINDOW_S:
-            found.popleft()
-        found.append(made)
-        return made
-
-    def _clear(self, now_s: float) -> None:
-        """Drop the sends that are in no window any more."""
-        self._cleared_s = now_s
+        """Count a request that is about to be sent, and return its record."""
+        record = SendRecord(now_s + MAX_SEND_DELAY_S)
+        if runner.service not in self._limits_per_s:
+            return record
+        if now_s - self._purged_s > RETENTION_S:
+            self._purge(now_s)
+        sends = self._sends.setdefault(runner.instance_id, collections.deque())
+        while sends and sends[0].at_s <= now_s - WINDOW_S:
+            sends.popleft()
+        sends.append(record)
+        return record
+
+    def _purge(self, now_s: float) -> None:
+        """Drop runners whose sends all lie before the current window."""
+        self._purged_s = now_s
         self._sends = {
             key: sends
             for key, sends in self._sends.items()
@@ -285,6 +289,6 @@
         }
 
 
-def _place(runner: instances.Instance) -> tuple[str, str, str]:
-    """Return what decides who owns a runner, beside the gateways."""
+def _ownership_key(runner: instances.Instance) -> tuple[str, str, str]:
+    """Return what determines the owners of a runner, beside the gateways."""
     return runner.instance_id, runner.service, runner.hall
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -908,7 +908,8 @@
     ),
     Mutant(
         'warmup: a first owner in a hall without gateways', 'warmup',
-        '    if not near:\n', '    if False:\n', 'warmup', 'without gateways',
+        '    if not local:\n', '    if False:\n', 'warmup',
+        'without gateways',
     ),
     Mutant(
         'lives: a start in the future', 'registry',
@@ -1222,22 +1223,23 @@
     ),
     Mutant(
         'warmup: no window', 'warmup',
-        'return len(last_s) < most or last_s[0] + WINDOW_S <= now_s',
+        'return len(sent_s) < quota or sent_s[0] + WINDOW_S <= now_s',
         'return True', 'warmup',
     ),
     Mutant(
         'warmup: all gateways own all runners', 'warmup',
-        'return found.others if ahead <= found.near else 0',
-        'return found.others', 'warmup',
+        'return quotas.secondary if rank <= quotas.local_owners else 0',
+        'return quotas.secondary', 'warmup',
     ),
     Mutant(
         'warmup: all gateways elsewhere own all runners', 'warmup',
-        'return found.others if ahead < found.away else 0',
-        'return found.others', 'warmup',
+        'return quotas.secondary if rank < quotas.remote_owners else 0',
+        'return quotas.secondary', 'warmup',
     ),
     Mutant(
         'warmup: the whole bound for one view', 'warmup',
-        'half = max(1, int(bound) // 2)', 'half = int(bound)', 'warmup',
+        'half = max(1, int(limit_per_s) // 2)', 'half = int(limit_per_s)',
+        'warmup',
     ),
     Mutant(
         'warmup: a start forgets what was sent', 'warmup',
@@ -1251,12 +1253,12 @@
     ),
     Mutant(
         'warmup: no owner elsewhere', 'warmup',
-        'return Parts(first, 1, left // 2, left - left // 2)',
-        'return Parts(first, 1, left, 0)', 'warmup',
+        'Quotas(primary, 1, remaining // 2, remaining - remaining // 2)',
+        'Quotas(primary, 1, remaining, 0)', 'warmup',
     ),
     Mutant(
         'warmup: lost gateways are forgotten at once', 'warmup',
-        'KEPT_S = 30.0', 'KEPT_S = 0.0', 'warmup',
+        'RETENTION_S = 30.0', 'RETENTION_S = 0.0', 'warmup',
     ),
     Mutant(
         'warmup: what was turned away counts', 'warmup',
