--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which runner a routed request goes to, and how long it waits for one.
+"""Selects the runner for a routed request, and waits for one if needed.
 
-A request waits only where a runner may come or open soon: where none is
-known, where the groups of all are closed, where another request is finding
-out whether the runners of a view are still there, and where those that can
-turn cold have had their part of this gateway's requests. What can't be served
-in time is refused at once, as where all halls are out of service.
+A request waits only where a runner may become available soon: where none is
+known, where the groups of all are closed or all back off, where a probe
+request checks whether the runners of an old view are still there, and where
+this gateway has used up its quotas of runners that can be cold. What can't be
+served in time is refused at once, as where all halls are out of service.
 """
 
 import collections
@@ -24,27 +24,26 @@
 
 Exchange = routedexchanges.Exchange
 
-#: How long a request waits for a runner where none is known, and the part
-#: of its remaining time that it may wait for any. After a loss of all power
-#: new runners register within 1.2 s; a caller that is refused may come back
-#: only once, and later than that.
+#: How long a request waits for a runner where none is known: about as long as
+#: new runners need to register after a loss of all power.
 RUNNER_WAIT_S = 1.2
-WAIT_PART = 0.4
-#: How long a request waits in all for a group that is closed and may open
-#: soon, and the part of its time. Callers give a stream up that has shown
-#: nothing for 2 s, and a first event takes up to 0.5 s where many wait.
+#: Most of its remaining time that a request waits for any runner.
+WAIT_FRACTION = 0.4
+#: How long after its start a request still waits for a closed group or for its
+#: quota. With up to 0.5 s to a first event, within the 2 s after which callers
+#: give up a stream that has shown nothing.
 GROUP_WAIT_S = 1.5
-#: Between two looks whether a group may take requests: a refusal by one of
-#: its ranks stands for 0.3 s only.
-GROUP_LOOK_S = 0.1
-#: Where the rest of a runner is over and one request finds out if it was long
-#: enough, others come back after that one's answer: a first event takes 0.1
-#: to 0.5 s.
-LEAST_BACK_S = 0.5
+#: Between two checks whether a group is open: a refusal by one of its ranks
+#: closes it for 0.3 s only.
+GROUP_CHECK_INTERVAL_S = 0.1
+#: Where all runners back off, callers are asked to retry no sooner than this:
+#: after a backoff each runner first gets a probe request, whose answer others
+#: wait for.
+MIN_RETRY_AFTER_S = 0.5
 
 
 class Picker:
-    """Picks runners for the requests of one gateway."""
+    """Selects runners for the requests of one gateway."""
 
     def __init__(
         self,
@@ -59,128 +58,135 @@
         self._index = index
         self._gateways = gateways
         self._rng = rng
-        #: Requests that wait for a runner that can turn cold, by service.
-        self._lines: dict[str, waitqueues.WaitQueue] = collections.defaultdict(
-            waitqueues.WaitQueue
+        #: Requests that wait for a runner that can be cold, by service.
+        self._queues: dict[str, waitqueues.WaitQueue] = (
+            collections.defaultdict(waitqueues.WaitQueue)
         )
-        #: Since when all known runners of a service have other owners.
-        self._unowned_s: dict[str, float] = {}
+        #: Since when all known runners of a service are owned by others.
+        self._unowned_since_s: dict[str, float] = {}
 
     async def pick(self, exchange: Exchange) -> backends.Picked:
-        """Return a runner, once there is one.
+        """Return a runner, once one is available.
 
         :raises NoRunner: there is none, or none registers in time.
-        :raises RunnersCold: those there are get no more by then.
+        :raises RunnersCold: no quota for a runner becomes free in time.
+        :raises RunnersResting: all runners back off for too long.
+        :raises GroupClosed: the groups of all runners stay closed.
+        :raises HallsOut: the halls of all runners are out of service.
         """
         if self.known.warmup.is_limited(exchange.service):
-            picked = await self._pick_in_turn(exchange)
+            picked = await self._pick_limited(exchange)
         else:
-            picked = await self._pick_now(exchange)
-        if picked is None and self._is_proving(exchange):
-            # Nothing has told in time; the try may still come off.
+            picked = await self._pick_unlimited(exchange)
+        if picked is None and self._is_probing(exchange):
+            # The probe had no outcome in time; an attempt may still succeed.
             picked = self._pick_any(exchange, self._app.now_s())
         if picked is None:
-            raise self._none_left(exchange)
+            raise self._no_runner_error(exchange)
         exchange.picked = picked
         return picked
 
-    async def _pick_now(self, exchange: Exchange) -> backends.Picked | None:
+    async def _pick_unlimited(
+        self, exchange: Exchange
+    ) -> backends.Picked | None:
         now_s = self._app.now_s()
-        wait_s = max(0.0, self._longest_wait_s(exchange, now_s))
+        wait_s = max(0.0, self._max_wait_s(exchange, now_s))
         until_s = now_s + wait_s
         picked = self._choose(exchange, now_s)
         with trio.move_on_after(wait_s):
-            while picked is None and self._may_come(exchange, until_s):
-                with trio.move_on_after(GROUP_LOOK_S):
+            while picked is None and self._is_worth_waiting(exchange, until_s):
+                with trio.move_on_after(GROUP_CHECK_INTERVAL_S):
                     await self.known.changed.wait()
                 picked = self._choose(exchange, self._app.now_s())
         return picked
 
-    # Runners that can turn cold.
+    # Runners that can be cold.
 
-    async def _pick_in_turn(
+    async def _pick_limited(
         self, exchange: Exchange
     ) -> backends.Picked | None:
-        """Return a runner that may get one more; None as `_pick_now`.
+        """Return a runner with quota left; None where none comes in time.
 
-        A second try has waited before, and some runners are closed to it, so
-        it joins no line and takes the first runner that is free.
+        A retry has waited before and can't use all runners, so it joins no
+        queue and gets the first runner with quota left.
 
-        :raises RunnersCold: the turn would come too late.
+        :raises RunnersCold: it could be sent only too late.
         """
         now_s = self._app.now_s()
-        line = self._lines[exchange.service]
+        queue = self._queues[exchange.service]
         picked = None
-        if exchange.tried or not len(line):
+        if exchange.tried or not len(queue):
             picked = self._choose(exchange, now_s)
         if picked is not None:
-            self._unowned_s.pop(exchange.service, None)
+            self._unowned_since_s.pop(exchange.service, None)
             return picked
         self._app.metrics.incr('cold.waited')
         if exchange.tried:
-            # `GROUP_WAIT_S` bounds the wait for a first event; a stream that
+            # `GROUP_WAIT_S` limits the time to a first event; a stream that
             # is resumed has shown some, and may wait a whole window.
             left_s = exchange.until_s - now_s
-            until_s = now_s + min(warmup.WINDOW_S, WAIT_PART * left_s)
-            return await self._wait_for_turn(exchange, None, until_s)
-        place = line.join(_priority(exchange))
-        until_s = now_s + max(0.0, self._longest_wait_s(exchange, now_s))
+            until_s = now_s + min(warmup.WINDOW_S, WAIT_FRACTION * left_s)
+            return await self._wait_for_quota(exchange, None, until_s)
+        waiter = queue.join(_priority(exchange))
+        until_s = now_s + max(0.0, self._max_wait_s(exchange, now_s))
         try:
-            return await self._wait_for_turn(exchange, place, until_s)
+            return await self._wait_for_quota(exchange, waiter, until_s)
         finally:
-            line.leave(place)
+            queue.leave(waiter)
 
-    async def _wait_for_turn(
+    async def _wait_for_quota(
         self,
         exchange: Exchange,
-        place: waitqueues.Waiter | None,
+        waiter: waitqueues.Waiter | None,
         until_s: float,
     ) -> backends.Picked | None:
-        line = self._lines[exchange.service]
+        queue = self._queues[exchange.service]
         while True:
             now_s = self._app.now_s()
-            ahead = line.count_ahead(place) if place else 0
-            turn_s = self.known.turn_s(
+            ahead = queue.count_ahead(waiter) if waiter else 0
+            send_s = self.known.turn_s(
                 exchange.service, exchange.tried, ahead, now_s
             )
-            if turn_s != warmup.NEVER and turn_s > until_s:
-                raise self._too_cold(exchange, ahead, turn_s - now_s)
+            if send_s != warmup.NEVER and send_s > until_s:
+                raise self._cold_error(exchange, ahead, send_s - now_s)
             if now_s >= until_s:
                 return None
             if ahead:
-                # The first of the line tells when it has gone.
-                place.moved = trio.Event()
+                # Woken where its position may have changed.
+                waiter.moved = trio.Event()
                 with trio.move_on_after(until_s - now_s):
-                    await place.moved.wait()
+                    await waiter.moved.wait()
                 continue
             picked = self._choose(exchange, now_s)
             if picked is not None:
                 return picked
-            free_s = self._free_s(exchange, now_s)
-            if free_s == warmup.NEVER:
+            next_free_s = self._next_free_s(exchange, now_s)
+            if next_free_s == warmup.NEVER:
                 if not self._may_own(exchange, now_s, until_s):
                     return None
-            next_s = min(until_s, free_s) if free_s > now_s else until_s
-            rest_s = min(GROUP_LOOK_S, next_s - now_s)
-            with trio.move_on_after(rest_s):
+            next_s = (
+                min(until_s, next_free_s) if next_free_s > now_s else until_s
+            )
+            wait_s = min(GROUP_CHECK_INTERVAL_S, next_s - now_s)
+            with trio.move_on_after(wait_s):
                 await self.known.changed.wait()
 
     def _may_own(
         self, exchange: Exchange, now_s: float, until_s: float
     ) -> bool:
-        """Return whether a runner may come that gets requests from here.
+        """Return whether this gateway may soon own a runner with quota left.
 
-        Where few are known after a start, all may have other owners; where
-        that lasts, so it will be for all requests.
+        Where few runners are known after a start, all may be owned by others;
+        where that lasts, no request needs to wait.
         """
         service = exchange.service
-        if not self._known(exchange) or self.known.owns_any(service, now_s):
-            self._unowned_s.pop(service, None)
-            return self._may_come(exchange, until_s)
-        since_s = self._unowned_s.setdefault(service, now_s)
+        if not self._runners(exchange) or self.known.owns_any(service, now_s):
+            self._unowned_since_s.pop(service, None)
+            return self._is_worth_waiting(exchange, until_s)
+        since_s = self._unowned_since_s.setdefault(service, now_s)
         return now_s - since_s < closures.HOPE_S
 
-    def _free_s(self, exchange: Exchange, now_s: float) -> float:
+    def _next_free_s(self, exchange: Exchange, now_s: float) -> float:
         return self.known.free_s(
             exchange.service,
             exchange.tried,
@@ -188,67 +194,72 @@
             now_s,
         )
 
-    def _too_cold(
-        self, exchange: Exchange, ahead: int, turn_in_s: float
+    def _cold_error(
+        self, exchange: Exchange, ahead: int, send_in_s: float
     ) -> errors.RunnersCold:
         return errors.RunnersCold(
-            f'{ahead} wait, the next turn is in {turn_in_s:.1f} s',
-            retry_after_s=utils.spread(turn_in_s, self._rng),
+            f'{ahead} requests ahead, could be sent in {send_in_s:.1f} s',
+            retry_after_s=utils.spread(send_in_s, self._rng),
         )
 
-    # What is known.
+    # State of the runners.
 
-    def _longest_wait_s(self, exchange: Exchange, now_s: float) -> float:
+    def _max_wait_s(self, exchange: Exchange, now_s: float) -> float:
         """Return how long a request may wait for a runner from now on."""
         wait_s = RUNNER_WAIT_S
-        if self._known(exchange):
+        if self._runners(exchange):
             wait_s = exchange.begun_s + GROUP_WAIT_S - now_s
-        return min(wait_s, WAIT_PART * (exchange.until_s - now_s))
+        return min(wait_s, WAIT_FRACTION * (exchange.until_s - now_s))
 
-    def _may_come(self, exchange: Exchange, until_s: float) -> bool:
-        """Return whether a runner may come soon, or a group open.
+    def _is_worth_waiting(self, exchange: Exchange, until_s: float) -> bool:
+        """Return whether a runner may register or a group open soon.
 
-        Of those that rest it is known when they may get requests again.
+        Runners that back off are waited for where the first of them may get
+        requests again by ``until_s``.
         """
         if self.known.is_all_out(exchange.service):
             return False
-        if not self._known(exchange) or self._is_proving(exchange):
+        if not self._runners(exchange) or self._is_probing(exchange):
             return True
-        over_s = self._rest_over_s(exchange)
-        if over_s is not None and over_s <= until_s:
+        end_s = self._backoff_end_s(exchange)
+        if end_s is not None and end_s <= until_s:
             return True
         closed_for_s = self._closed_for_s(exchange)
         return closed_for_s is not None and closed_for_s < closures.HOPE_S
 
     def _closed_for_s(self, exchange: Exchange) -> float | None:
-        """Return for how long all groups are closed, None where they aren't.
+        """Return for how long all groups are closed, None if one is open.
 
-        Runners of plain services are in no group.
+        None also for plain services, whose runners are in no group.
         """
         if not self.has_ranks(exchange.service):
             return None
         now_s = self._app.now_s()
         return self.known.closed_for_s(exchange.service, now_s)
 
-    def _none_left(self, exchange: Exchange) -> errors.MountridgeError:
+    def _no_runner_error(self, exchange: Exchange) -> errors.MountridgeError:
         if self.known.is_all_out(exchange.service):
             out = ', '.join(sorted(self.known.halls_out))
-            return errors.HallsOut(f'out of service: {out}')
+            return errors.HallsOut(f'halls out of service: {out}')
         closed_for_s = self._closed_for_s(exchange)
         if closed_for_s is not None:
-            return errors.GroupClosed(f'closed for {closed_for_s:.1f} s')
-        over_s = self._rest_over_s(exchange)
-        if over_s is not None:
-            return self._all_rest(over_s - self._app.now_s())
+            return errors.GroupClosed(
+                f'all groups closed for {closed_for_s:.1f} s'
+            )
+        end_s = self._backoff_end_s(exchange)
+        if end_s is not None:
+            return self._backoff_error(end_s - self._app.now_s())
         service = exchange.service
-        is_bound = self.known.warmup.is_limited(service)
-        if is_bound and not self.known.owns_any(service, self._app.now_s()):
-            if self._known(exchange):
-                return errors.RunnersCold('all have other owners')
-        return errors.NoRunner(f'no runner of {exchange.service} is left')
-
-    def _rest_over_s(self, exchange: Exchange) -> float | None:
-        """Return when the first runner that rests may get the request."""
+        is_limited = self.known.warmup.is_limited(service)
+        if is_limited and not self.known.owns_any(service, self._app.now_s()):
+            if self._runners(exchange):
+                return errors.RunnersCold(
+                    'all runners are owned by other gateways'
+                )
+        return errors.NoRunner(f'no runner of {exchange.service} is available')
+
+    def _backoff_end_s(self, exchange: Exchange) -> float | None:
+        """Return when the first runner that backs off may get the request."""
         return self.known.rest_over_s(
             exchange.service,
             exchange.tried,
@@ -256,24 +267,26 @@
             self._app.now_s(),
         )
 
-    def _all_rest(self, left_s: float) -> errors.RunnersResting:
+    def _backoff_error(self, left_s: float) -> errors.RunnersResting:
         return errors.RunnersResting(
-            f'all have asked for rest, the first for {left_s:.1f} s more',
-            retry_after_s=utils.spread(max(LEAST_BACK_S, left_s), self._rng),
+            f'all runners back off, the first for {left_s:.1f} s more',
+            retry_after_s=utils.spread(
+                max(MIN_RETRY_AFTER_S, left_s), self._rng
+            ),
         )
 
-    def _known(self, exchange: Exchange) -> list[backends.Backend]:
+    def _runners(self, exchange: Exchange) -> list[backends.Backend]:
         return self.known.of_service(exchange.service)
 
-    def _is_proving(self, exchange: Exchange) -> bool:
-        """Return whether another request finds out about the ranks."""
+    def _is_probing(self, exchange: Exchange) -> bool:
+        """Return whether another request is probing the ranks."""
         service = exchange.service
         return self.has_ranks(service) and self.known.is_proving(service)
 
     def _choose(
         self, exchange: Exchange, now_s: float
     ) -> backends.Picked | None:
-        if self._is_proving(exchange):
+        if self._is_probing(exchange):
             return None
         return self._pick_any(exchange, now_s)
 
@@ -291,7 +304,7 @@
         )
 
     def _was_refused(self, exchange: Exchange) -> bool:
-        """Return whether a rank has refused, or failed, this request."""
+        """Return whether a rank has refused this request or failed."""
         return bool(exchange.tried) and self.has_ranks(exchange.service)
 
     def has_ranks(self, service_name: str) -> bool:
@@ -301,7 +314,7 @@
 
 
 def _priority(exchange: Exchange) -> int:
-    """Return how urgent a request is, 0 first; a team's own goes before."""
+    """Return the priority, 0 first; a team's own overrides the route's."""
     team = exchange.team
     if team is not None and team.priority is not None:
         return team.priority
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -530,7 +530,7 @@
     ),
     Mutant(
         'routes: no wait for a first runner', 'picking',
-        'while picked is None and self._may_come(exchange, until_s):',
+        'while picked is None and self._is_worth_waiting(exchange, until_s):',
         'while False:', 'forwarding', 'before any runner',
     ),
     Mutant(
@@ -646,12 +646,12 @@
     ),
     Mutant(
         'rests: the end of one is not waited for', 'picking',
-        'if over_s is not None and over_s <= until_s:', 'if False:', 'rests',
+        'if end_s is not None and end_s <= until_s:', 'if False:', 'rests',
     ),
     Mutant(
         'rests: hopeless requests wait', 'picking',
-        'if over_s is not None and over_s <= until_s:',
-        'if over_s is not None:', 'rests',
+        'if end_s is not None and end_s <= until_s:',
+        'if end_s is not None:', 'rests',
     ),
     Mutant(
         'rests: an agent hears none', 'agent',
@@ -1279,7 +1279,7 @@
     ),
     Mutant(
         'picking: who comes late waits all the same', 'picking',
-        'if turn_s != warmup.NEVER and turn_s > until_s:', 'if False:',
+        'if send_s != warmup.NEVER and send_s > until_s:', 'if False:',
         'warmup',
     ),
     Mutant(
