--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on runners that can turn cold: many gateways, on virtual time."""
+"""Steps on runners that can be cold: many gateways, on virtual time."""
 
 import collections
 import random
@@ -15,21 +15,22 @@
 from mountridge.routing import backends, forwarding, picking, warmup
 
 SLOTS, QUEUE = 5, 20
-#: After power returns: gateways begin, have a view with runners of before,
-#: runners register, and groups open, each drawn from a span.
+#: After power returns: gateways start, receive a view with the previous
+#: runners, runners register (each drawn from a range), and groups open.
 BEGIN_S, VIEW_S, REGISTER_S, OPEN_S = (0, 0.3), (0.5, 0.8), (0.5, 1.9), 0.9
-#: To a runner, to its refusal, to a first event; how long an answer takes.
-WAY_S, REFUSED_S, FIRST_S, ANSWER_S = 0.002, 0.004, 0.17, 1.3
+#: Latency to a runner, to its refusal and to a first event; mean duration of
+#: the rest of a response.
+LATENCY_S, REFUSAL_S, FIRST_S, RESPONSE_S = 0.002, 0.004, 0.17, 1.3
 REPORT_S = 0.2
-SPAN_S, DEADLINE_S, MOST_TRIES = 4.0, 8.0, 5
-#: Callers that have waited through the loss: 134 a second for 2 s and more.
-WAITED = 300
-#: Random schedules that are played for each fault.
+SPAN_S, DEADLINE_S, MAX_ATTEMPTS = 4.0, 8.0, 5
+#: Callers that wait while the power is off.
+WAITING = 300
+#: Random schedules for each fault.
 SEEDS = 6
 
 
 def most_in_a_second(times_s):
-    """Return the most of sorted times that lie within one second."""
+    """Return how many of the sorted times lie within one second at most."""
     window, most = collections.deque(), 0
     for at_s in times_s:
         window.append(at_s)
@@ -40,25 +41,25 @@
 
 
 class _Runner:
-    """One runner and the one that stood at its address before."""
+    """One runner and its predecessor at the same address."""
 
     def __init__(self, number, group, hall):
         self.group = group
         made = [
             instances.Instance(
-                f'{life}-{number}', 's', f'10.0.0.{number}:1', hall, 'v',
-                SLOTS, instances.READY, 0, True,
+                f'{incarnation}-{number}', 's', f'10.0.0.{number}:1', hall,
+                'v', SLOTS, instances.READY, 0, True,
             )
-            for life in ('old', 'new')
+            for incarnation in ('old', 'new')
         ]  # fmt: skip
         self.old, self.new = made
-        self.is_known = False
-        self.there = 0
+        self.is_registered = False
+        self.in_flight = 0
         self.arrived_s = []
 
 
-class _Return:
-    """All power returns to gateways, runners and their callers."""
+class _PowerReturn:
+    """Power returns to gateways, runners and their callers."""
 
     def __init__(self, gateways, halls, groups, ranks, per_s, over, slack):
         self.rng = random.Random(11)
@@ -67,7 +68,7 @@
             _Runner(n, n % groups, f'h{n % halls}')
             for n in range(groups * ranks)
         ]
-        self.bound = (per_s, over, slack)
+        self.limit = (per_s, over, slack)
         self.known = {}
         self.pickers = {}
         self.ready = {name: trio.Event() for name in self.names}
@@ -80,19 +81,19 @@
         return trio.current_time()
 
     def listed(self):
-        """Return the registrations that the leader holds."""
-        return [r.new if r.is_known else r.old for r in self.runners]
+        """Return the registrations that the leader has."""
+        return [r.new if r.is_registered else r.old for r in self.runners]
 
     async def start(self, name):
         await trio.sleep(self.rng.uniform(*BEGIN_S))
-        per_s, over, slack = self.bound
-        own = warmup.WarmupLimiter(
+        per_s, over, slack = self.limit
+        limiter = warmup.WarmupLimiter(
             name, self.names[name], over, slack, self.now_s()
         )
-        known = backends.Backends(name, own)
+        known = backends.Backends(name, limiter)
         await trio.sleep(self.rng.uniform(*VIEW_S))
-        own.update_services({'s': per_s})
-        own.update_gateways(self.names, self.now_s())
+        limiter.update_services({'s': per_s})
+        limiter.update_gateways(self.names, self.now_s())
         known.follow_gateways(self.names)
         known.follow(self.listed())
         service = types.SimpleNamespace(engine=routes.Engine(SLOTS, 1, 8))
@@ -110,7 +111,7 @@
 
     async def register(self, runner):
         await trio.sleep(self.rng.uniform(*REGISTER_S))
-        runner.is_known = True
+        runner.is_registered = True
         for known in self.known.values():
             known.follow(self.listed())
 
@@ -120,12 +121,12 @@
             is_open = self.now_s() >= self.begun_s + OPEN_S
             for known in self.known.values():
                 for runner in self.runners:
-                    told = messages.RunnerLoad(
-                        runner.new.instance_id, min(SLOTS, runner.there),
-                        max(0, runner.there - SLOTS), 100, runner.group,
+                    load = messages.RunnerLoad(
+                        runner.new.instance_id, min(SLOTS, runner.in_flight),
+                        max(0, runner.in_flight - SLOTS), 100, runner.group,
                         is_open,
                     )  # fmt: skip
-                    known.report(told, self.now_s())
+                    known.report(load, self.now_s())
 
     async def run(self, per_s):
         self.begun_s = self.now_s()
@@ -135,7 +136,7 @@
             for runner in self.runners:
                 nursery.start_soon(self.register, runner)
             nursery.start_soon(self.report)
-            for _ in range(WAITED):
+            for _ in range(WAITING):
                 nursery.start_soon(self.ask)
             until_s = self.begun_s + SPAN_S
             while self.now_s() < until_s:
@@ -145,7 +146,7 @@
             nursery.cancel_scope.cancel()
 
     async def ask(self):
-        """A caller, who comes back once where it is refused."""
+        """Send a request of a caller, which retries once if refused."""
         number, self.asked = self.asked, self.asked + 1
         until_s = self.now_s() + DEADLINE_S
         for _ in range(2):
@@ -156,9 +157,9 @@
                 return
             except errors.MountridgeError as problem:
                 self.codes[problem.code] += 1
-                else_s = forwarding.COME_BACK_S[type(problem)]
-                rest_s = problem.retry_after_s or else_s
-            await trio.sleep(min(rest_s, (until_s - self.now_s()) / 3))
+                default_s = forwarding.COME_BACK_S[type(problem)]
+                retry_s = problem.retry_after_s or default_s
+            await trio.sleep(min(retry_s, (until_s - self.now_s()) / 3))
 
     async def send(self, name, number, until_s):
         exchange = types.SimpleNamespace(
@@ -166,45 +167,45 @@
             team=None, route=types.SimpleNamespace(priority=1),
         )  # fmt: skip
         known = self.known[name]
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             picked = await self.pickers[name].pick(exchange)
             backend = picked.backend
             exchange.tried.add(backend.instance.instance_id)
             send = known.began(backend, self.now_s())
             try:
-                if await self.is_taken(known, backend, send, number):
+                if await self.is_accepted(known, backend, send, number):
                     return
             finally:
                 backend.ended()
         raise errors.RunnerRefused()
 
-    async def is_taken(self, known, backend, send, number):
-        """Return whether a runner takes a request, and let it answer."""
+    async def is_accepted(self, known, backend, send, number):
+        """Return whether a runner accepts a request, and let it respond."""
         instance = backend.instance
         runner = next(r for r in self.runners if instance in (r.old, r.new))
         send.mark_sent(self.now_s())
-        await trio.sleep(WAY_S)
-        is_gone = instance is runner.old
-        if not is_gone:
+        await trio.sleep(LATENCY_S)
+        is_replaced = instance is runner.old
+        if not is_replaced:
             runner.arrived_s.append(self.now_s())
         is_open = self.now_s() >= self.begun_s + OPEN_S
-        if is_gone or not is_open or runner.there >= SLOTS + QUEUE:
-            await trio.sleep(REFUSED_S)
-            backend.replaced = is_gone
-            if is_gone:
+        if is_replaced or not is_open or runner.in_flight >= SLOTS + QUEUE:
+            await trio.sleep(REFUSAL_S)
+            backend.replaced = is_replaced
+            if is_replaced:
                 send.discard()
             else:
-                backend.heard(runner.there, 0, self.now_s())
+                backend.heard(runner.in_flight, 0, self.now_s())
             known.refused(backend, self.now_s())
             return False
-        runner.there += 1
-        while runner.there > SLOTS and self.rng.random() < 0.5:
+        runner.in_flight += 1
+        while runner.in_flight > SLOTS and self.rng.random() < 0.5:
             await trio.sleep(FIRST_S)
         await trio.sleep(FIRST_S)
         self.served_s[number] = self.now_s() - self.begun_s
         known.accepted(backend, self.now_s())
-        await trio.sleep(self.rng.expovariate(1 / ANSWER_S))
-        runner.there -= 1
+        await trio.sleep(self.rng.expovariate(1 / RESPONSE_S))
+        runner.in_flight -= 1
         return True
 
 
@@ -217,37 +218,39 @@
 
 
 @given(
-    'a cold runner bears {per_s:g} requests a second,'
-    ' {over:g} times that and {slack:g} more'
+    'a cold runner sustains {per_s:g} requests a second,'
+    ' limit {over:g} times that plus {slack:g}'
 )
-def bears(context, per_s, over, slack):
-    context.bears = (per_s, over, slack)
+def set_limit(context, per_s, over, slack):
+    context.limit = (per_s, over, slack)
 
 
-@when('all power returns to callers that waited, and {per_s:g} a second come')
+@when('power returns while callers are waiting, and {per_s:g} a second arrive')
 def power_returns(context, per_s):
     async def play():
-        context.world = _Return(*context.fleet, *context.bears)
+        context.world = _PowerReturn(*context.fleet, *context.limit)
         await context.world.run(per_s)
 
     trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-@then('the most that a runner gets in a second is {most:d} or {which}')
+@then(
+    'the most requests that a runner gets in a second are {most:d} or {which}'
+)
 def check_most(context, most, which):
     found = max(most_in_a_second(r.arrived_s) for r in context.world.runners)
     assert (found <= most) == (which == 'less'), found
 
 
-@then('all are served, those that waited within {span_s:g} s')
+@then('all are served, the waiting callers within {span_s:g} s')
 def check_out(context, span_s):
     world = context.world
     assert len(world.served_s) == world.asked, (world.codes, world.asked)
-    waited_s = [s for number, s in world.served_s.items() if number < WAITED]
+    waited_s = [s for number, s in world.served_s.items() if number < WAITING]
     assert max(waited_s) <= span_s, max(waited_s)
 
 
-@then('at most {most:d} in 100 are refused once')
+@then('refusals are at most {most:d} in 100 requests')
 def check_refused(context, most):
     world = context.world
     assert world.codes.total() * 100 <= most * world.asked, world.codes
@@ -255,26 +258,27 @@
 
 # Random schedules.
 
-#: How often each gateway tries to send to each runner: far more than it may.
-TRY_S, LAG_S, LEASE_S = 0.04, 3.0, 3.0
+#: Between attempts of a gateway to send to each runner, far more than it may;
+#: most delay of a view; duration of a lease.
+ATTEMPT_S, LAG_S, LEASE_S = 0.04, 3.0, 3.0
 
 
 class _Gateway:
-    """One gateway, the view that it has and what it may send."""
+    """One gateway, its state and its limiter."""
 
     def __init__(self, name, hall):
         self.name, self.hall = name, hall
-        self.up_s = 0.0
-        self.is_cut = False
-        self.own = None
+        self.restart_s = 0.0
+        self.is_partitioned = False
+        self.limiter = None
 
 
 class _Schedule:
-    """Gateways that send all they may while their views differ."""
+    """Gateways that send as much as they may while their views differ."""
 
-    def __init__(self, seed, gateways, halls, bears):
+    def __init__(self, seed, gateways, halls, limit):
         self.rng = random.Random(seed)
-        self.bears = bears
+        self.limit = limit
         self.runners = [
             instances.Instance(
                 f'i-{n}', 's', f'10.0.0.{n}:1', f'h{n % halls}', 'v', SLOTS,
@@ -283,7 +287,7 @@
             for n in range(6)
         ]  # fmt: skip
         self.gateways = []
-        #: (since when, the view): what the leader holds.
+        #: (since when, the view): the views of the leader.
         first = {f'g-{n}': f'h{n % halls}' for n in range(gateways)}
         self.views = [(float('-inf'), first)]
         for number in range(gateways):
@@ -296,16 +300,16 @@
         self.start(gateway, now_s)
 
     def start(self, gateway, now_s):
-        """Start a gateway: it knows nothing of a former life."""
-        per_s, over, slack = self.bears
-        gateway.up_s, gateway.is_cut = now_s, False
-        began_s = now_s if now_s else float('-inf')
-        gateway.own = warmup.WarmupLimiter(
-            gateway.name, gateway.hall, over, slack, began_s
+        """Start a gateway; it knows nothing of its previous incarnation."""
+        per_s, over, slack = self.limit
+        gateway.restart_s, gateway.is_partitioned = now_s, False
+        started_s = now_s if now_s else float('-inf')
+        gateway.limiter = warmup.WarmupLimiter(
+            gateway.name, gateway.hall, over, slack, started_s
         )
-        gateway.own.update_services({'s': per_s})
+        gateway.limiter.update_services({'s': per_s})
         self.register(gateway, now_s)
-        gateway.own.update_gateways(self.views[-1][1], now_s)
+        gateway.limiter.update_gateways(self.views[-1][1], now_s)
 
     def register(self, gateway, now_s):
         view = {**self.views[-1][1], gateway.name: gateway.hall}
@@ -313,52 +317,57 @@
             self.views.append((now_s, view))
 
     def expel(self, now_s):
-        """Let the leader forget those that are cut off or down for long."""
+        """Remove those from the view whose lease has expired."""
         view = dict(self.views[-1][1])
         for gateway in self.gateways:
-            is_away = gateway.is_cut or gateway.up_s > now_s
-            if is_away and now_s - gateway.away_s > LEASE_S:
+            is_unreachable = (
+                gateway.is_partitioned or gateway.restart_s > now_s
+            )
+            if is_unreachable and now_s - gateway.unreachable_s > LEASE_S:
                 view.pop(gateway.name, None)
         if view != self.views[-1][1]:
             self.views.append((now_s, view))
 
     def down(self, gateway, now_s, span_s):
-        gateway.away_s, gateway.up_s = now_s, now_s + span_s
+        gateway.unreachable_s, gateway.restart_s = now_s, now_s + span_s
 
-    def cut(self, gateway, now_s):
-        gateway.away_s, gateway.is_cut = now_s, True
+    def partition(self, gateway, now_s):
+        gateway.unreachable_s, gateway.is_partitioned = now_s, True
 
     def heal(self, gateway, now_s):
-        gateway.is_cut = False
+        gateway.is_partitioned = False
         self.register(gateway, now_s)
 
     def play(self, faults, span_s):
-        """Play ``faults``: times and what is done then."""
+        """Run with ``faults``: times and the functions called then."""
         now_s, faults = 0.0, sorted(faults, key=lambda each: each[0])
         while now_s < span_s:
-            now_s += TRY_S
+            now_s += ATTEMPT_S
             while faults and faults[0][0] <= now_s:
                 faults.pop(0)[1](now_s)
             self.expel(now_s)
             for gateway in self.gateways:
-                if gateway.up_s > now_s:
+                if gateway.restart_s > now_s:
                     continue
-                if gateway.own is None:
+                if gateway.limiter is None:
                     self.start(gateway, now_s)
-                if not gateway.is_cut and self.rng.random() < TRY_S:
+                if (
+                    not gateway.is_partitioned
+                    and self.rng.random() < ATTEMPT_S
+                ):
                     lag_s = self.rng.uniform(0, LAG_S)
                     seen = [v for at, v in self.views if at <= now_s - lag_s]
-                    gateway.own.update_gateways(seen[-1], now_s)
+                    gateway.limiter.update_gateways(seen[-1], now_s)
                 self.send(gateway, now_s)
 
     def send(self, gateway, now_s):
-        at_s = now_s + self.rng.uniform(0, TRY_S)
+        at_s = now_s + self.rng.uniform(0, ATTEMPT_S)
         for runner in self.runners:
-            gateway.own.generation(at_s)
-            if not gateway.own.quota(runner, at_s):
+            gateway.limiter.generation(at_s)
+            if not gateway.limiter.quota(runner, at_s):
                 continue
-            if gateway.own.has_quota_left(runner, at_s):
-                send = gateway.own.record_send(runner, at_s)
+            if gateway.limiter.has_quota_left(runner, at_s):
+                send = gateway.limiter.record_send(runner, at_s)
                 late_s = at_s + self.rng.choice([0.0, 0.001, 0.3])
                 send.mark_sent(late_s)
                 self.arrived_s[runner.instance_id].append(late_s)
@@ -371,7 +380,7 @@
 
 
 def _restarts(world, rng):
-    """Kill gateways at random moments; each starts again soon."""
+    """Kill gateways at random times; each restarts soon."""
     for _ in range(60):
         gateway = rng.choice(world.gateways)
         yield rng.uniform(1, 11), _killed(world, gateway, rng.uniform(0.1, 1))
@@ -380,75 +389,75 @@
 def _killed(world, gateway, span_s):
     def kill(now_s):
         world.down(gateway, now_s, span_s)
-        gateway.own = None
+        gateway.limiter = None
 
     return kill
 
 
-def _herd(world, rng):
-    """Kill all at one moment, twice."""
+def _kills_of_all(world, rng):
+    """Kill all at once, twice."""
     for at_s in (3.0, 6.0):
         for gateway in world.gateways:
             yield at_s, _killed(world, gateway, rng.uniform(0.1, 0.6))
 
 
-def _hall(world, rng):
-    """Lose a hall for longer than a lease, and have it back."""
+def _hall_loss(world, rng):
+    """Lose a hall for longer than a lease, then let it recover."""
     for gateway in world.gateways:
         if gateway.hall == 'h0':
             yield 2.0, _killed(world, gateway, rng.uniform(4.0, 6.0))
 
 
-def _cuts(world, rng):
-    """Cut gateways off for a time, each from its own moment."""
+def _partitions(world, rng):
+    """Partition half of the gateways, each at its own time."""
     for gateway in rng.sample(world.gateways, len(world.gateways) // 2):
         at_s = rng.uniform(1, 4)
-        yield at_s, lambda now_s, g=gateway: world.cut(g, now_s)
+        yield at_s, lambda now_s, g=gateway: world.partition(g, now_s)
         heal_s = at_s + rng.uniform(1, 6)
         yield heal_s, lambda now_s, g=gateway: world.heal(g, now_s)
 
 
 def _joins(world, rng):
-    """Let new gateways come, under names that were never seen."""
+    """Let gateways join under new names."""
     for number in range(6):
         yield rng.uniform(1, 11), lambda now_s, n=number: world.add(
             1000 + n, 3, now_s
         )
 
 
-def _all(world, rng):
-    for fault in (_restarts, _hall, _cuts, _joins):
+def _combined(world, rng):
+    for fault in (_restarts, _hall_loss, _partitions, _joins):
         yield from fault(world, rng)
 
 
 FAULTS = {
-    'gateways are killed and start again': _restarts,
-    'all are killed at one moment, twice': _herd,
-    'a hall is lost and comes back': _hall,
-    'half are cut off for a time': _cuts,
+    'gateways are killed and restart': _restarts,
+    'all are killed at once, twice': _kills_of_all,
+    'a hall is lost and recovers': _hall_loss,
+    'half are partitioned for a time': _partitions,
     'new gateways join': _joins,
-    'all but the second at once': _all,
+    'restarts, hall loss, partitions, joins': _combined,
 }
 
 
-@when('{gateways:d} gateways send all that they may while {fault}')
+@when('{gateways:d} gateways send as much as they may while {fault}')
 def random_schedules(context, gateways, fault):
     context.found = []
     for seed in range(SEEDS):
-        world = _Schedule(seed, gateways, 3, context.bears)
+        world = _Schedule(seed, gateways, 3, context.limit)
         faults = list(FAULTS[fault](world, random.Random(seed)))
         world.play(faults, 12.0)
         context.found.append(world.most())
 
 
-@then('no runner gets over {most:d} in any second')
+@then('no runner gets more than {most:d} requests in any second')
 def check_all(context, most):
     assert max(context.found) <= most, context.found
 
 
-@then('some get {some:d} or more')
-def check_some(context, some):
-    """The gateways do send all that they may, or nothing would be shown."""
+@then('the most that one gets in a second is {some:d} or more')
+def check_near_limit(context, some):
+    """Check that gateways send close to the limit, so that it is tested."""
     assert max(context.found) >= some, context.found
 
 
@@ -466,57 +475,60 @@
     return {f'g-{n}': f'h{n % halls}' for n in range(count)}
 
 
-@when('{gateways:d} gateways in {halls:d} halls share {runners:d} runners')
-def share_runners(context, gateways, halls, runners):
-    per_s, over, slack = context.bears
-    context.parts = {}
+@when(
+    '{gateways:d} gateways in {halls:d} halls'
+    ' compute quotas of {runners:d} runners'
+)
+def compute_quotas(context, gateways, halls, runners):
+    per_s, over, slack = context.limit
+    context.quotas = {}
     listed = [_runner(n, f'h{n % halls}') for n in range(runners)]
     names = _gateways(gateways, halls)
     for name, hall in names.items():
-        own = warmup.WarmupLimiter(name, hall, over, slack)
-        own.update_services({'s': per_s})
-        own.update_gateways(names, 0.0)
+        limiter = warmup.WarmupLimiter(name, hall, over, slack)
+        limiter.update_services({'s': per_s})
+        limiter.update_gateways(names, 0.0)
         for runner in listed:
-            part = own.quota(runner, 0.0)
-            is_first = own.is_primary(runner)
-            held = context.parts.setdefault((runner, len(names) > 1), {})
-            if part:
-                held[name, hall] = (part, is_first)
+            quota = limiter.quota(runner, 0.0)
+            is_primary = limiter.is_primary(runner)
+            owners = context.quotas.setdefault((runner, len(names) > 1), {})
+            if quota:
+                owners[name, hall] = (quota, is_primary)
 
 
-@then('each runner has one first owner, in its hall')
+@then('each runner has one primary owner, in its hall')
 def one_first(context):
-    for (runner, _), held in context.parts.items():
-        halls = [hall for (_, hall), (_, first) in held.items() if first]
-        assert halls == [runner.hall], (runner, held)
+    for (runner, _), owners in context.quotas.items():
+        halls = [hall for (_, hall), (_, first) in owners.items() if first]
+        assert halls == [runner.hall], (runner, owners)
 
 
-@then('it has owners in other halls, and its parts add up to {most:d} at most')
+@then('it has owners in other halls, and quotas of at most {most:d} in total')
 def owners_elsewhere(context, most):
-    for (runner, are_more), held in context.parts.items():
-        away = [hall for _, hall in held if hall != runner.hall]
-        assert away or not are_more, (runner, held)
-        assert sum(part for part, _ in held.values()) <= most, held
+    for (runner, are_more), owners in context.quotas.items():
+        away = [hall for _, hall in owners if hall != runner.hall]
+        assert away or not are_more, (runner, owners)
+        assert sum(quota for quota, _ in owners.values()) <= most, owners
 
 
-@then('each gateway owns {least:d} runners at least')
-def owns_some(context, least):
+@then('each gateway owns at least {least:d} runners')
+def check_least(context, least):
     owned = collections.Counter(
-        name for held in context.parts.values() for name, _ in held
+        name for owners in context.quotas.values() for name, _ in owners
     )
     print(owned)
     assert min(owned.values()) >= least or not least, owned
 
 
-class _Gateway1:
+class _SingleGateway:
     """One of 39 gateways, its picker and the runners that it knows."""
 
     def __init__(self, runners, started_s=float('-inf')):
         self.rng = random.Random(5)
-        self.own = warmup.WarmupLimiter('g-0', 'h0', 1.5, 5.0, started_s)
-        self.own.update_services({'s': 14.0})
-        self.own.update_gateways(_gateways(39, 3), 0.0)
-        self.known = backends.Backends('g-0', self.own)
+        self.limiter = warmup.WarmupLimiter('g-0', 'h0', 1.5, 5.0, started_s)
+        self.limiter.update_services({'s': 14.0})
+        self.limiter.update_gateways(_gateways(39, 3), 0.0)
+        self.known = backends.Backends('g-0', self.limiter)
         self.known.follow(runners)
         service = types.SimpleNamespace(engine=None)
         index = types.SimpleNamespace(services={'s': service})
@@ -528,9 +540,9 @@
         self.picker = picking.Picker(
             app, lambda: index, self.known, lambda: 39, self.rng
         )
-        #: What became of requests, by number, in order: (number, after how
-        #: long, the runner or the refusal).
-        self.told = []
+        #: Outcomes of requests in order: (number, after how many seconds,
+        #: id of the runner or the error).
+        self.outcomes = []
 
     def exchange(self, priority=1, tried=()):
         now_s = trio.current_time()
@@ -541,58 +553,58 @@
 
     async def ask(self, number, priority=1, tried=()):
         exchange = self.exchange(priority, tried)
-        became = None
+        outcome = None
         try:
             picked = await self.picker.pick(exchange)
             now_s = trio.current_time()
             self.known.began(picked.backend, now_s).mark_sent(now_s)
-            became = picked.backend.instance.instance_id
+            outcome = picked.backend.instance.instance_id
         except errors.MountridgeError as problem:
-            became = problem
+            outcome = problem
         took_s = trio.current_time() - exchange.begun_s
-        self.told.append((number, round(took_s, 3), became))
-        return became
+        self.outcomes.append((number, round(took_s, 3), outcome))
+        return outcome
 
 
 def _play(play):
     trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def _with_part(part, count):
-    """Return runners of which the gateway has such a part."""
-    own = warmup.WarmupLimiter('g-0', 'h0', 1.5, 5.0)
-    own.update_services({'s': 14.0})
-    own.update_gateways(_gateways(39, 3), 0.0)
+def _with_quota(quota, count):
+    """Return runners for which the gateway has this quota."""
+    limiter = warmup.WarmupLimiter('g-0', 'h0', 1.5, 5.0)
+    limiter.update_services({'s': 14.0})
+    limiter.update_gateways(_gateways(39, 3), 0.0)
     runners = [_runner(number) for number in range(200)]
-    return [r for r in runners if own.quota(r, 0.0) == part][:count]
+    return [r for r in runners if limiter.quota(r, 0.0) == quota][:count]
 
 
-@given('a gateway that may send 1 request in a window to each of 2 runners')
+@given('a gateway with a quota of 1 request in a window for each of 2 runners')
 def make_gateway(context):
-    context.runners = _with_part(1, 2)
+    context.runners = _with_quota(1, 2)
     context.started_ago_s = None
 
 
-@given('it has started {ago_s:g} s ago')
+@given('it started {ago_s:g} s ago')
 def started(context, ago_s):
     context.started_ago_s = ago_s
 
 
-@given('other gateways own both')
+@given('other gateways own both runners')
 def other_owners(context):
-    context.runners = _with_part(0, 2)
+    context.runners = _with_quota(0, 2)
 
 
-@given('the first of them is cold, and both have 1 of 5 slots taken')
+@given('the first of them is cold, and both have 1 of 5 slots in use')
 def first_cold(context):
     first, second = context.runners
     context.runners = [first._replace(is_cold=True), second]
 
 
-@when('requests of priorities {priorities} come at one moment')
+@when('requests of priorities {priorities} arrive at once')
 def come_at_once(context, priorities):
     async def play():
-        context.gateway = _Gateway1(context.runners)
+        context.gateway = _SingleGateway(context.runners)
         async with trio.open_nursery() as nursery:
             for number, priority in enumerate(priorities.split(), 1):
                 nursery.start_soon(context.gateway.ask, number, int(priority))
@@ -601,30 +613,37 @@
     _play(play)
 
 
-@then('{numbers} are sent in this order, the last two {after_s:g} s later')
+@then(
+    'requests {numbers} are sent in this order,'
+    ' the last two {after_s:g} s later'
+)
 def sent_in_order(context, numbers, after_s):
-    told = [each for each in context.gateway.told if isinstance(each[2], str)]
-    assert [str(each[0]) for each in told] == numbers.split(), told
-    assert [round(each[1], 2) for each in told] == [0, 0, after_s, after_s]
+    outcomes = [
+        each for each in context.gateway.outcomes if isinstance(each[2], str)
+    ]
+    assert [str(each[0]) for each in outcomes] == numbers.split(), outcomes
+    assert [round(each[1], 2) for each in outcomes] == [0, 0, after_s, after_s]
 
 
 @then(
-    '{numbers} are refused within {span_s:g} s with {code:d},'
-    ' to come back after {after_s:g} s'
+    'requests {numbers} are refused within {span_s:g} s with {code:d},'
+    ' to retry after {after_s:g} s'
 )
 def refused_soon(context, numbers, span_s, code, after_s):
-    told = [x for x in context.gateway.told if not isinstance(x[2], str)]
-    assert [str(each[0]) for each in told] == numbers.split(), told
-    for _, took_s, problem in told:
-        assert took_s <= span_s and problem.code == code, told
+    outcomes = [
+        x for x in context.gateway.outcomes if not isinstance(x[2], str)
+    ]
+    assert [str(each[0]) for each in outcomes] == numbers.split(), outcomes
+    for _, took_s, problem in outcomes:
+        assert took_s <= span_s and problem.code == code, outcomes
         back_s = took_s + problem.retry_after_s
-        assert after_s - 0.01 <= back_s <= after_s * 1.5, told
+        assert after_s - 0.01 <= back_s <= after_s * 1.5, outcomes
 
 
 @when('the first of 2 requests fails at its first runner')
 def first_fails(context):
     async def play():
-        gateway = context.gateway = _Gateway1(context.runners)
+        gateway = context.gateway = _SingleGateway(context.runners)
         first = await gateway.ask(1)
         await gateway.ask(1, tried={first})
         await gateway.ask(2)
@@ -632,25 +651,28 @@
     _play(play)
 
 
-@then('its second try goes to the other runner')
+@then('its retry goes to the other runner')
 def to_the_other(context):
-    (_, _, first), (_, _, second), _ = context.gateway.told
+    (_, _, first), (_, _, second), _ = context.gateway.outcomes
     assert {first, second} == {r.instance_id for r in context.runners}
 
 
 @then('the second request waits for {wait_s:g} s')
 def second_waits(context, wait_s):
-    assert context.gateway.told[2][:2] == (2, wait_s), context.gateway.told
+    assert context.gateway.outcomes[2][:2] == (
+        2,
+        wait_s,
+    ), context.gateway.outcomes
 
 
-@when('2 requests come, and the sends are such that each {what}')
-def taken_back(context, what):
+@when('2 requests arrive, and the send of each {what}')
+def discard_sends(context, what):
     async def play():
-        gateway = context.gateway = _Gateway1(context.runners)
+        gateway = context.gateway = _SingleGateway(context.runners)
         for _ in range(2):
             picked = await gateway.picker.pick(gateway.exchange())
             send = gateway.known.began(picked.backend, trio.current_time())
-            if what != 'never left':
+            if what != 'is given up before it begins':
                 send.mark_sent(trio.current_time())
             send.discard()
         await gateway.ask(3)
@@ -658,17 +680,17 @@
     _play(play)
 
 
-@then('another request finds a runner at once')
+@then('another request gets a runner at once')
 def finds_at_once(context):
-    ((_, took_s, became),) = context.gateway.told
-    assert took_s == 0 and isinstance(became, str), context.gateway.told
+    ((_, took_s, outcome),) = context.gateway.outcomes
+    assert took_s == 0 and isinstance(outcome, str), context.gateway.outcomes
 
 
-@when('a request comes')
+@when('a request arrives')
 def one_comes(context):
     async def play():
         started_s = trio.current_time() - context.started_ago_s
-        context.gateway = _Gateway1(context.runners, started_s)
+        context.gateway = _SingleGateway(context.runners, started_s)
         await context.gateway.ask(1)
 
     _play(play)
@@ -676,14 +698,14 @@
 
 @then('it is sent {after_s:g} s later')
 def sent_later(context, after_s):
-    ((_, took_s, became),) = context.gateway.told
-    assert took_s == after_s and isinstance(became, str), took_s
+    ((_, took_s, outcome),) = context.gateway.outcomes
+    assert took_s == after_s and isinstance(outcome, str), took_s
 
 
-@when('a request comes, and another one {later_s:g} s later')
+@when('a request arrives, and another one {later_s:g} s later')
 def two_come(context, later_s):
     async def play():
-        context.gateway = _Gateway1(context.runners)
+        context.gateway = _SingleGateway(context.runners)
         await context.gateway.ask(1)
         await trio.sleep(later_s)
         await context.gateway.ask(2)
@@ -695,16 +717,16 @@
     'the first waits for a runner,'
     ' and the other is refused at once with {code:d}'
 )
-def hopeless(context, code):
-    (_, first_s, _), (_, second_s, problem) = context.gateway.told
-    assert first_s > 1 and second_s == 0, context.gateway.told
+def check_refused_at_once(context, code):
+    (_, first_s, _), (_, second_s, problem) = context.gateway.outcomes
+    assert first_s > 1 and second_s == 0, context.gateway.outcomes
     assert problem.code == code, problem
 
 
-@when('40 requests come, each 2 s after the other')
+@when('40 requests arrive, one each 2 s')
 def forty_come(context):
     async def play():
-        gateway = context.gateway = _Gateway1(context.runners)
+        gateway = context.gateway = _SingleGateway(context.runners)
         for number in range(40):
             await trio.sleep(2)
             for runner in context.runners:
@@ -719,9 +741,9 @@
     _play(play)
 
 
-@then('all go to the second')
+@then('all go to the second runner')
 def all_second(context):
-    went = {became for _, _, became in context.gateway.told}
+    went = {outcome for _, _, outcome in context.gateway.outcomes}
     assert went == {context.runners[1].instance_id}, went
 
 
@@ -730,125 +752,125 @@
 
 @given('{gateways:d} gateways in {halls:d} halls that {know}')
 def gateways_that(context, gateways, halls, know):
-    per_s, over, slack = context.bears
+    per_s, over, slack = context.limit
     context.names = _gateways(gateways, halls)
-    has_begun = know == 'have just begun'
-    context.owns = {}
+    have_started = know == 'have just started'
+    context.limiters = {}
     for name, hall in context.names.items():
-        # Of a hall that is lost only its own gateways begin anew.
-        is_new = has_begun and hall == 'h0'
-        began_s = 0.0 if is_new else float('-inf')
-        own = warmup.WarmupLimiter(name, hall, over, slack, began_s)
-        own.update_services({'s': per_s})
+        # After the loss of hall h0 only its gateways have restarted.
+        is_new = have_started and hall == 'h0'
+        started_s = 0.0 if is_new else float('-inf')
+        limiter = warmup.WarmupLimiter(name, hall, over, slack, started_s)
+        limiter.update_services({'s': per_s})
         if not is_new:
-            own.update_gateways(context.names, 0.0)
-        context.owns[name] = own
+            limiter.update_gateways(context.names, 0.0)
+        context.limiters[name] = limiter
 
 
 @when(
-    'each gets a view without {who}, and {after_s:g} s later sends all it may'
+    'each gets a view without {who}, and {after_s:g} s later sends all it can'
 )
 def send_by_view(context, who, after_s):
     context.sent = collections.Counter()
-    for name, own in context.owns.items():
-        lacks_all = who == 'any other'
+    for name, limiter in context.limiters.items():
+        lacks_all = who == 'all others'
         view = {
             other: hall
             for other, hall in context.names.items()
             if other == name or not (lacks_all or hall == 'h0')
         }
-        own.update_gateways(view, 0.0)
-        own.generation(after_s)
+        limiter.update_gateways(view, 0.0)
+        limiter.generation(after_s)
         for number in range(10):
             runner = _runner(number)
-            while own.quota(runner, after_s) and own.has_quota_left(
+            while limiter.quota(runner, after_s) and limiter.has_quota_left(
                 runner, after_s
             ):
-                own.record_send(runner, after_s).mark_sent(after_s)
+                limiter.record_send(runner, after_s).mark_sent(after_s)
                 context.sent[runner.instance_id] += 1
 
 
-@then('the runners of hall h0 get at most {most:d} from all together')
+@then('each runner of hall h0 gets at most {most:d} requests in all')
 def check_sum(context, most):
     assert len(context.sent) == 10, context.sent
     assert max(context.sent.values()) <= most, context.sent
 
 
-@given('a gateway that sends all that it may to a runner of its own')
-def make_lone_gateway(context):
-    context.own = warmup.WarmupLimiter('g-0', 'h0', 1.0, 0.0)
-    context.own.update_gateways(_gateways(2, 1), 0.0)
+@given('a gateway that sends as much as it may to a runner that it owns')
+def make_owner(context):
+    context.limiter = warmup.WarmupLimiter('g-0', 'h0', 1.0, 0.0)
+    context.limiter.update_gateways(_gateways(2, 1), 0.0)
     context.sent_s = []
 
 
 @when(
-    'the routes let a cold runner bear {before:g}, and {after_s:g} s later'
-    ' {after:g} requests a second'
+    'routes set a limit of {before:g}, and {after_s:g} s later'
+    ' of {after:g} requests a second'
 )
-def raise_bound(context, before, after_s, after):
+def raise_limit(context, before, after_s, after):
     runner = _runner(1)
-    context.own.update_services({'s': before})
+    context.limiter.update_services({'s': before})
     for step in range(int(200 * after_s)):
         now_s = step / 100
         if now_s == after_s:
-            context.own.update_services({'s': after})
-            context.part = context.own.quota(runner, now_s)
-        if context.own.has_quota_left(runner, now_s):
-            context.own.record_send(runner, now_s).mark_sent(now_s)
+            context.limiter.update_services({'s': after})
+            context.quota = context.limiter.quota(runner, now_s)
+        if context.limiter.has_quota_left(runner, now_s):
+            context.limiter.record_send(runner, now_s).mark_sent(now_s)
             context.sent_s.append(now_s)
 
 
-@then('it sends no more than its part in any window')
-def check_part(context):
+@then('it sends no more than its quota in any window')
+def check_quota(context):
     sent_s = context.sent_s
-    assert context.part > 1 and len(sent_s) > context.part
+    assert context.quota > 1 and len(sent_s) > context.quota
     for first_s in sent_s:
         count = sum(
             first_s <= at_s < first_s + warmup.WINDOW_S for at_s in sent_s
         )
-        assert count <= context.part, (first_s, count, context.part)
+        assert count <= context.quota, (first_s, count, context.quota)
 
 
-@when('2 gateways elsewhere share a runner that bears {bound:g} in a second')
-def share_from_elsewhere(context, bound):
+@when('2 gateways elsewhere compute quotas with a limit of {limit:g} a second')
+def compute_remote_quotas(context, limit):
     names = {'g-0': 'h1', 'g-1': 'h1'}
-    context.shares = []
+    context.quotas = []
     for name, hall in names.items():
-        own = warmup.WarmupLimiter(name, hall, 1.0, 0.0)
-        own.update_services({'s': bound})
-        own.update_gateways(names, 0.0)
-        context.shares.append(own.quota(_runner(1, 'h0'), 0.0))
+        limiter = warmup.WarmupLimiter(name, hall, 1.0, 0.0)
+        limiter.update_services({'s': limit})
+        limiter.update_gateways(names, 0.0)
+        context.quotas.append(limiter.quota(_runner(1, 'h0'), 0.0))
 
 
-@then('it has an owner, and its parts add up to {most:d} at most')
-def check_shares(context, most):
-    assert 0 < sum(context.shares) <= most, context.shares
+@then('it has an owner, and quotas of at most {most:d} in total')
+def check_remote_quotas(context, most):
+    assert 0 < sum(context.quotas) <= most, context.quotas
 
 
 @given('a gateway that knows a runner in hall h0')
-def know_runners(context):
-    context.own = _one_of_39()
+def know_runner(context):
+    context.limiter = _limiter_of_39()
     context.before = [
-        context.own.quota(_runner(n, 'h0'), 0.0) for n in range(200)
+        context.limiter.quota(_runner(n, 'h0'), 0.0) for n in range(200)
     ]
 
 
-@when('the runner starts again under its id in hall h1')
-def move_runners(context):
+@when('the runner restarts under its id in hall h1')
+def move_runner(context):
     context.after = [
-        context.own.quota(_runner(n, 'h1'), 0.0) for n in range(200)
+        context.limiter.quota(_runner(n, 'h1'), 0.0) for n in range(200)
     ]
 
 
-@then('the gateway has the part there of one that never knew the other place')
+@then('its quota is that of a gateway that never knew the runner in h0')
 def check_moved(context):
-    fresh = _one_of_39()
+    fresh = _limiter_of_39()
     expected = [fresh.quota(_runner(n, 'h1'), 0.0) for n in range(200)]
     assert context.after == expected and expected != context.before
 
 
-def _one_of_39():
-    own = warmup.WarmupLimiter('g-0', 'h0', 1.5, 5.0)
-    own.update_services({'s': 14.0})
-    own.update_gateways(_gateways(39, 3), 0.0)
-    return own
+def _limiter_of_39():
+    limiter = warmup.WarmupLimiter('g-0', 'h0', 1.5, 5.0)
+    limiter.update_services({'s': 14.0})
+    limiter.update_gateways(_gateways(39, 3), 0.0)
+    return limiter
