--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -61,7 +61,7 @@
             await world.load(per_s, span_s)
 
     world.play(script)
-    assert any(runner.rests for runner in chosen)
+    assert any(runner.backoffs for runner in chosen)
 
 
 @when(
@@ -84,9 +84,9 @@
 
 
 async def _lose_registration(world, runner, lost_s):
-    world.follow(without=(runner.instance.instance_id,))
+    world.update_registrations(without=(runner.instance.instance_id,))
     await trio.sleep(lost_s)
-    world.follow()
+    world.update_registrations()
 
 
 @when(
@@ -99,7 +99,7 @@
 
     async def script():
         runner.answer = _resting(rest_s)
-        while not runner.rests:
+        while not runner.backoffs:
             await world.ask('g0')
         await _lose_registration(world, runner, lost_s)
         await world.load(20, rest_s)
@@ -127,14 +127,14 @@
 @when('a rank asks for {rest_s:g} s of rest and starts again after {at_s:g} s')
 def rest_and_restart(context, rest_s, at_s):
     world = context.world
-    context.later = rests.Runner(0, life=2)
+    context.later = rests.Runner(0, incarnation=2)
 
     async def script():
         _runners(context)[0].answer = _resting(rest_s)
         await world.ask('g0')
         await trio.sleep(at_s)
-        world.put(context.later)
-        world.follow()
+        world.put_runner(context.later)
+        world.update_registrations()
         await trio.sleep(2 * rests.REPORT_S)
         await world.ask('g0')
 
@@ -148,7 +148,7 @@
 
 @then('no gateway has sent more than {most:d} requests into a rest')
 def check_rests(context, most):
-    found = [runner.most_in_a_rest() for runner in _runners(context)]
+    found = [runner.most_during_backoff() for runner in _runners(context)]
     assert max(found) <= most, found
 
 
@@ -163,8 +163,8 @@
 )
 def check_leaving(context, late_s):
     runner = _runners(context)[0]
-    assert runner.told_leaving_s
-    for gateway, told_s in runner.told_leaving_s.items():
+    assert runner.leaving_since_s
+    for gateway, told_s in runner.leaving_since_s.items():
         mine = [each for each in runner.arrivals if each.gateway == gateway]
         late = [each for each in mine if each.at_s > told_s + late_s]
         assert not late, late
@@ -183,7 +183,7 @@
             for _ in range(2):
                 nursery.start_soon(world.ask, 'g0')
             await trio.sleep(0.05)
-            assert all(runner.rests for runner in _runners(context))
+            assert all(runner.backoffs for runner in _runners(context))
             for runner in _runners(context):
                 runner.answer = rests.Answer()
             begun_s = trio.current_time()
@@ -239,11 +239,11 @@
     async def script():
         runner.answer = _resting(rest_s)
         await world.ask('g0')
-        runner.way_s = 0.8
+        runner.latency_s = 0.8
         await world.load(20, 8)
 
     world.play(script)
-    assert len(runner.rests) > 2, runner.rests
+    assert len(runner.backoffs) > 2, runner.backoffs
 
 
 @when(
@@ -255,13 +255,13 @@
     runner = _runners(context)[0]
 
     async def script():
-        runner.work_s = 3.0
+        runner.service_s = 3.0
         async with trio.open_nursery() as nursery:
             nursery.start_soon(world.ask, 'g0', 5000)
             await trio.sleep(0.5)
             runner.answer = _resting(rest_s)
             await world.ask('g0')
-            runner.answer, runner.work_s = rests.Answer(), rests.WORK_S
+            runner.answer, runner.service_s = rests.Answer(), rests.SERVICE_S
             await trio.sleep(at_s)
             for _ in range(count):
                 nursery.start_soon(world.ask, 'g0')
--- a/features/worlds/rests.py
+++ b/features/worlds/rests.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Gateways before runners that ask for rest or leave, on virtual time.
+"""Gateways with runners that request a backoff or leave, on virtual time.
 
-The forwarders are real, and so is the reading of answers; connections are
-not. Each runner writes down what reached it, and from which gateway.
+The forwarders and the parsing of responses are real, connections are not.
+Each runner records the requests that reached it, and from which gateway.
 """
 
 import contextlib
@@ -22,14 +22,14 @@
 __all__ = ['Answer', 'Arrival', 'Runner', 'World']
 
 NAMES = dialects.NATIVE.headers
-#: To a runner and back, its work, and between reports of its sidecar.
-WAY_S, WORK_S, REPORT_S = 0.005, 0.3, 0.2
+#: Latency of one way to a runner, its service time and its report interval.
+LATENCY_S, SERVICE_S, REPORT_S = 0.005, 0.3, 0.2
 SLOTS = 6
 BOUNDS = {'retry_ratio': 0.2, 'retry_slack': 96.0, 'retry_window_s': 10.0}
 
 
 class Answer(typing.NamedTuple):
-    """What a runner answers; a status of 200 follows its work."""
+    """A runner's response; one of status 200 follows the service time."""
 
     status: int = 200
     headers: tuple[tuple[bytes, bytes], ...] = ()
@@ -43,23 +43,23 @@
 
 
 class Runner:
-    """One life of a runner: what it answers, and what has reached it."""
+    """One incarnation of a runner: its responses, and what has reached it."""
 
-    def __init__(self, number: int, life: int = 1):
+    def __init__(self, number: int, incarnation: int = 1):
         self.instance = instances.Instance(
             f'i-{number}', 's', f'10.0.0.{number}:1', 'north', 'v', SLOTS,
-            instances.READY, lives=life,
+            instances.READY, lives=incarnation,
         )  # fmt: skip
         self.answer = Answer()
-        self.way_s = WAY_S
+        self.latency_s = LATENCY_S
         self.connect_s = 0.0
-        self.work_s = WORK_S
+        self.service_s = SERVICE_S
         self.running = 0
         self.arrivals: list[Arrival] = []
-        #: When it answered a gateway so, and until when it wants nothing.
-        self.rests: list[tuple[str, float, float]] = []
-        #: When it first told a gateway that it leaves.
-        self.told_leaving_s: dict[str, float] = {}
+        #: Gateway, and the times from and to which it was told to back off.
+        self.backoffs: list[tuple[str, float, float]] = []
+        #: When it first announced to each gateway that it leaves.
+        self.leaving_since_s: dict[str, float] = {}
 
     async def serve(self, gateway: str) -> Answer:
         """Answer a request that has arrived."""
@@ -67,20 +67,20 @@
         answer = self.answer
         if answer.status == 200:
             self.running += 1
-            await trio.sleep(self.work_s)
+            await trio.sleep(self.service_s)
             self.running -= 1
         now_s = trio.current_time()
         for name, value in answer.headers:
             if name == b'Retry-After':
-                self.rests.append((gateway, now_s, now_s + float(value)))
+                self.backoffs.append((gateway, now_s, now_s + float(value)))
             elif name == b'X-Leaving':
-                self.told_leaving_s.setdefault(gateway, now_s)
+                self.leaving_since_s.setdefault(gateway, now_s)
         return answer
 
-    def most_in_a_rest(self) -> int:
-        """Return the most that one gateway sent within a rest.
+    def most_during_backoff(self) -> int:
+        """Return the most requests of one gateway during a backoff.
 
-        What arrives in the first half second may have been on its way.
+        The first half second does not count: requests may be under way.
         """
         return max(
             (
@@ -89,7 +89,7 @@
                     for each in self.arrivals
                     if each.gateway == gateway
                 )
-                for gateway, from_s, until_s in self.rests
+                for gateway, from_s, until_s in self.backoffs
             ),
             default=0,
         )
@@ -106,13 +106,13 @@
         runner = self._world.runners[address]
         await trio.sleep(runner.connect_s)
         on_send()
-        await trio.sleep(runner.way_s)
+        await trio.sleep(runner.latency_s)
         answer = await runner.serve(self._gateway)
-        await trio.sleep(runner.way_s)
-        told = [(NAMES.request_id, request_id.encode()), *answer.headers]
-        head = dialects.read_reply(answer.status, told, NAMES)
+        await trio.sleep(runner.latency_s)
+        headers = [(NAMES.request_id, request_id.encode()), *answer.headers]
+        head = dialects.read_reply(answer.status, headers, NAMES)
         yield types.SimpleNamespace(
-            head=head, headers=told, whole=answers.whole
+            head=head, headers=headers, whole=answers.whole
         )
 
 
@@ -120,11 +120,11 @@
     """Some gateways, and the runners of one service."""
 
     def __init__(self, gateways: int, runners: int, tries: int = 2):
-        #: For how long the machine was suspended; its timers stood still.
-        self.slept_s = 0.0
+        #: For how long the machine was suspended while timers stood still.
+        self.suspended_s = 0.0
         self.runners: dict[str, Runner] = {}
         for number in range(runners):
-            self.put(Runner(number))
+            self.put_runner(Runner(number))
         self.index = _index(tries)
         self.gateways = {f'g{n}': self._gateway(f'g{n}', gateways)
                          for n in range(gateways)}  # fmt: skip
@@ -151,21 +151,21 @@
         return made
 
     def now_s(self) -> float:
-        """Return the time that the gateways decide by."""
-        return trio.current_time() + self.slept_s
+        """Return the time that the gateways use."""
+        return trio.current_time() + self.suspended_s
 
     def suspend(self, span_s: float, is_noticed: bool = True) -> None:
-        """Let real time go on, and no timer."""
-        self.slept_s += span_s
+        """Advance real time without any timer."""
+        self.suspended_s += span_s
         for gateway in self.gateways.values() if is_noticed else ():
             gateway.end_late(self.now_s())
 
-    def put(self, runner: Runner) -> None:
-        """Put a runner, or a later life of one, at its address."""
+    def put_runner(self, runner: Runner) -> None:
+        """Put a runner, or a later incarnation of one, at its address."""
         self.runners[runner.instance.address] = runner
 
-    def follow(self, without: tuple[str, ...] = ()) -> None:
-        """Give all gateways the registrations, but for some."""
+    def update_registrations(self, without: tuple[str, ...] = ()) -> None:
+        """Update the registrations at all gateways, without some."""
         registered = [
             runner.instance
             for runner in self.runners.values()
@@ -175,11 +175,11 @@
             gateway.known.follow(registered)
 
     def play(self, script: typing.Callable) -> None:
-        """Run a script on virtual time, while sidecars report."""
+        """Run a script on virtual time while sidecars report."""
 
         async def main() -> None:
             async with trio.open_nursery() as nursery:
-                self.follow()
+                self.update_registrations()
                 nursery.start_soon(self._report)
                 with trio.fail_after(600):
                     await script()
@@ -201,7 +201,7 @@
     async def ask(
         self, gateway: str, deadline_ms: int = 2500
     ) -> answers.Responder:
-        """Send one request and return its answer."""
+        """Send one request and return its response."""
         self._count += 1
         headers = [
             (b'Host', b'a.example'),
@@ -215,7 +215,7 @@
         return responder
 
     async def load(self, per_s: float, span_s: float) -> None:
-        """Send requests to all gateways in turn, and await their answers."""
+        """Send requests to all gateways in turn, and await the responses."""
         names = list(self.gateways)
         async with trio.open_nursery() as nursery:
             for number in range(round(per_s * span_s)):
@@ -223,7 +223,7 @@
                 await trio.sleep(1 / per_s)
 
     def refused(self) -> list[int]:
-        """Return the statuses of what was not served."""
+        """Return the statuses of requests that were not served."""
         return [each.status for each in self.answers if each.status != 200]
 
 
