--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on what runners ask for in their answers, on virtual time."""
+"""Steps on backoffs that runners request, on virtual time."""
 
 import json
 import math
@@ -17,9 +17,9 @@
 LEAVING = rests.Answer(200, ((b'X-Leaving', b'1'),))
 
 
-def _resting(span_s):
-    told = ((b'X-Not-Run', b'1'), (b'Retry-After', b'%g' % span_s))
-    return rests.Answer(503, told)
+def _backing_off(span_s):
+    headers = ((b'X-Not-Run', b'1'), (b'Retry-After', b'%g' % span_s))
+    return rests.Answer(503, headers)
 
 
 def _runners(context):
@@ -33,31 +33,31 @@
 
 @given(
     '{gateways:d} gateways and {ranks:d} ranks of one group, and requests with'
-    ' {tries:d} try'
+    ' {attempts:d} attempt'
 )
-def few_tries(context, gateways, ranks, tries):
-    context.world = rests.World(gateways, ranks, tries)
+def limited_attempts(context, gateways, ranks, attempts):
+    context.world = rests.World(gateways, ranks, attempts)
 
 
 @when(
-    '{per_s:g} requests a second come for {span_s:g} s, and from {from_s:g}'
-    ' to {to_s:g} s {count:d} ranks ask for {rest_s:g} s of rest'
+    '{per_s:g} requests a second arrive for {span_s:g} s, and {count:d} ranks'
+    ' request a backoff of {backoff_s:g} s from {from_s:g} to {to_s:g} s'
 )
-def load_and_rest(context, per_s, span_s, from_s, to_s, count, rest_s):
+def load_and_back_off(context, per_s, span_s, from_s, to_s, count, backoff_s):
     world = context.world
     chosen = _runners(context)[:count]
 
-    async def turn_away():
+    async def refuse():
         await trio.sleep(from_s)
         for runner in chosen:
-            runner.answer = _resting(rest_s)
+            runner.answer = _backing_off(backoff_s)
         await trio.sleep(to_s - from_s)
         for runner in chosen:
             runner.answer = rests.Answer()
 
     async def script():
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(turn_away)
+            nursery.start_soon(refuse)
             await world.load(per_s, span_s)
 
     world.play(script)
@@ -65,8 +65,8 @@
 
 
 @when(
-    '{per_s:g} requests a second come for {span_s:g} s, and a rank says so'
-    ' from {from_s:g} s on'
+    '{per_s:g} requests a second arrive for {span_s:g} s, and a rank'
+    ' announces it from {from_s:g} s on'
 )
 def load_and_leave(context, per_s, span_s, from_s):
     world = context.world
@@ -90,25 +90,26 @@
 
 
 @when(
-    'a rank asks for {rest_s:g} s of rest and its registration is lost'
+    'a rank requests a backoff of {backoff_s:g} s and its registration is lost'
     ' for {lost_s:g} s'
 )
-def rest_and_lose(context, rest_s, lost_s):
+def back_off_and_lose(context, backoff_s, lost_s):
     world = context.world
     runner = _runners(context)[0]
 
     async def script():
-        runner.answer = _resting(rest_s)
+        runner.answer = _backing_off(backoff_s)
         while not runner.backoffs:
             await world.ask('g0')
         await _lose_registration(world, runner, lost_s)
-        await world.load(20, rest_s)
+        await world.load(20, backoff_s)
 
     world.play(script)
 
 
 @when(
-    'a rank says that it leaves and its registration is lost for {lost_s:g} s'
+    'a rank announces that it leaves and its registration is lost'
+    ' for {lost_s:g} s'
 )
 def leave_and_lose(context, lost_s):
     world = context.world
@@ -124,13 +125,16 @@
     world.play(script)
 
 
-@when('a rank asks for {rest_s:g} s of rest and starts again after {at_s:g} s')
-def rest_and_restart(context, rest_s, at_s):
+@when(
+    'a rank requests a backoff of {backoff_s:g} s and restarts'
+    ' after {at_s:g} s'
+)
+def back_off_and_restart(context, backoff_s, at_s):
     world = context.world
     context.later = rests.Runner(0, incarnation=2)
 
     async def script():
-        _runners(context)[0].answer = _resting(rest_s)
+        _runners(context)[0].answer = _backing_off(backoff_s)
         await world.ask('g0')
         await trio.sleep(at_s)
         world.put_runner(context.later)
@@ -141,13 +145,13 @@
     world.play(script)
 
 
-@then('its new life gets the next request')
-def check_new_life(context):
+@then('its new incarnation gets the next request')
+def check_new_incarnation(context):
     assert len(context.later.arrivals) == 1, context.later.arrivals
 
 
-@then('no gateway has sent more than {most:d} requests into a rest')
-def check_rests(context, most):
+@then('no gateway has sent more than {most:d} requests during a backoff')
+def check_backoffs(context, most):
     found = [runner.most_during_backoff() for runner in _runners(context)]
     assert max(found) <= most, found
 
@@ -158,27 +162,26 @@
     assert not refused, f'{len(refused)} of {len(context.world.answers)}'
 
 
-@then(
-    'no gateway has sent it any request later than {late_s:g} s after its word'
-)
+@then('no gateway has sent it any request later than {late_s:g} s after that')
 def check_leaving(context, late_s):
     runner = _runners(context)[0]
     assert runner.leaving_since_s
-    for gateway, told_s in runner.leaving_since_s.items():
+    for gateway, announced_s in runner.leaving_since_s.items():
         mine = [each for each in runner.arrivals if each.gateway == gateway]
-        late = [each for each in mine if each.at_s > told_s + late_s]
+        late = [each for each in mine if each.at_s > announced_s + late_s]
         assert not late, late
 
 
 @when(
-    'both ask for {left_s:g} s of rest and then take requests, and one comes'
+    'both request a backoff of {left_s:g} s and then accept requests,'
+    ' and one arrives'
 )
-def all_rest(context, left_s):
+def all_back_off(context, left_s):
     world = context.world
 
     async def script():
         for runner in _runners(context):
-            runner.answer = _resting(left_s)
+            runner.answer = _backing_off(left_s)
         async with trio.open_nursery() as nursery:
             for _ in range(2):
                 nursery.start_soon(world.ask, 'g0')
@@ -205,20 +208,20 @@
 
 
 @when(
-    '{count:d} requests wait {wait_s:g} s for a connection, and a rank asks'
-    ' for {rest_s:g} s of rest'
+    '{count:d} requests wait {wait_s:g} s for a connection, and a rank'
+    ' requests a backoff of {backoff_s:g} s'
 )
-def wait_and_rest(context, count, wait_s, rest_s):
+def wait_and_back_off(context, count, wait_s, backoff_s):
     world = context.world
     runner = _runners(context)[0]
 
     async def script():
-        runner.answer = _resting(rest_s)
+        runner.answer = _backing_off(backoff_s)
         _runners(context)[1].connect_s = 0.01
         async with trio.open_nursery() as nursery:
             for number in range(count):
                 nursery.start_soon(world.ask, 'g0')
-                # The first finds out while the others wait.
+                # The first is refused while the others wait.
                 await trio.sleep(0.001)
                 runner.connect_s = wait_s
 
@@ -231,13 +234,16 @@
     assert len(arrivals) == count, arrivals
 
 
-@when('it asks for {rest_s:g} s of rest, again and again, over a way of 0.8 s')
-def rest_again(context, rest_s):
+@when(
+    'it repeatedly requests a backoff of {backoff_s:g} s,'
+    ' with a latency of 0.8 s'
+)
+def back_off_repeatedly(context, backoff_s):
     world = context.world
     runner = _runners(context)[0]
 
     async def script():
-        runner.answer = _resting(rest_s)
+        runner.answer = _backing_off(backoff_s)
         await world.ask('g0')
         runner.latency_s = 0.8
         await world.load(20, 8)
@@ -247,10 +253,10 @@
 
 
 @when(
-    'it takes a long request, asks for {rest_s:g} s of rest, and {count:d}'
-    ' come after {at_s:g} s'
+    'it accepts a long request, requests a backoff of {backoff_s:g} s, and'
+    ' {count:d} arrive after {at_s:g} s'
 )
-def serve_and_rest(context, rest_s, count, at_s):
+def serve_and_back_off(context, backoff_s, count, at_s):
     world = context.world
     runner = _runners(context)[0]
 
@@ -259,7 +265,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(world.ask, 'g0', 5000)
             await trio.sleep(0.5)
-            runner.answer = _resting(rest_s)
+            runner.answer = _backing_off(backoff_s)
             await world.ask('g0')
             runner.answer, runner.service_s = rests.Answer(), rests.SERVICE_S
             await trio.sleep(at_s)
@@ -276,16 +282,18 @@
     assert len(served) == count, context.world.refused()
 
 
-@given('a gateway that knows a runner that has rested, a busy and an idle one')
-def rested(context):
+@given(
+    'a gateway that knows a runner that has backed off, a busy and an idle one'
+)
+def backed_off(context):
     context.known = backends.Backends()
     context.known.follow([rests.Runner(n).instance for n in range(4)])
     context.known.backoffs.back_off(rests.Runner(0).instance, 1.0, 100.0)
     context.known.by_id['i-1'].heard(2, 0, 111.0)
 
 
-@when('a request was turned away by the fourth, {ago_s:d} s after that')
-def turned_away(context, ago_s):
+@when('a fourth runner has refused a request, {ago_s:d} s after that')
+def refused_by_fourth(context, ago_s):
     now_s = 101.0 + ago_s
     context.known.by_id['i-1'].heard(2, 0, now_s)
     tried, rng = {'i-0', 'i-3'}, random.Random(1)
@@ -299,17 +307,17 @@
     assert found == names[which], found
 
 
-@then('its head says a rest of {span} s, and that it {leaves}')
+@then('it is parsed as a backoff of {span} s, and that the runner {leaves}')
 def check_head(context, span, leaves):
-    told = context.scenario.name.partition(' -- ')[0]
-    status, _, header = told.removeprefix('The words of an answer ').partition(
+    name = context.scenario.name.partition(' -- ')[0]
+    status, _, header = name.removeprefix('The head of a response ').partition(
         ' with '
     )
     name, _, value = header.encode().partition(b': ')
     head = dialects.read_reply(
         int(status), [(name, value)], dialects.NATIVE.headers
     )
-    if span == 'unclear':
+    if span == 'invalid':
         assert math.isnan(head.rest_s), head
     else:
         assert head.rest_s == (None if span == 'no' else float(span)), head
@@ -319,32 +327,36 @@
 @then('it lasts {lasts_s:g} s, and a shorter one later does not end it')
 def check_lasts(context, lasts_s):
     asked = context.scenario.name.partition(' -- ')[0].rpartition(' ')[2]
-    span_s = math.nan if asked == 'unclear' else float(asked)
-    words, runner = backoffs.Backoffs(), rests.Runner(0).instance
-    assert words.back_off(runner, span_s, 10.0) == 10.0 + lasts_s
-    assert words.back_off(runner, 0.1, 10.1) == 10.0 + lasts_s
-    assert not words.may_select(runner, 10.0 + lasts_s - 0.01)
-    assert words.may_select(runner, 10.0 + lasts_s)
+    span_s = math.nan if asked == 'invalid' else float(asked)
+    found, runner = backoffs.Backoffs(), rests.Runner(0).instance
+    assert found.back_off(runner, span_s, 10.0) == 10.0 + lasts_s
+    assert found.back_off(runner, 0.1, 10.1) == 10.0 + lasts_s
+    assert not found.may_select(runner, 10.0 + lasts_s - 0.01)
+    assert found.may_select(runner, 10.0 + lasts_s)
 
 
-@when('{count:d} lives of runners ask for rest')
-def many_lives(context, count):
-    context.words = backoffs.Backoffs()
-    context.lives = [rests.Runner(n).instance for n in range(count)]
-    for runner in context.lives:
-        context.words.back_off(runner, 60.0, 0.0)
+@when('{count:d} incarnations of runners request a backoff')
+def many_incarnations(context, count):
+    context.backoffs = backoffs.Backoffs()
+    context.runners_backing_off = [
+        rests.Runner(n).instance for n in range(count)
+    ]
+    for runner in context.runners_backing_off:
+        context.backoffs.back_off(runner, 60.0, 0.0)
 
 
-@then('the words of {count:d} are kept, with the latest')
+@then('the backoffs of {count:d} are kept, with the latest')
 def check_kept(context, count):
-    assert len(context.words) == count
-    assert not context.words.may_select(context.lives[-1], 1.0)
+    assert len(context.backoffs) == count
+    assert not context.backoffs.may_select(
+        context.runners_backing_off[-1], 1.0
+    )
 
 
-# An agent and its one runner.
+# An agent and its only runner.
 
 
-def _turn_away(span_s):
+def _refusal(span_s):
     return dialects.ReplyHead(503, None, True, None, None, None, span_s)
 
 
@@ -355,7 +367,7 @@
 
 
 def _play_calls(context, head, from_s, to_s, per_s, span_s, row=CALLS):
-    """Send calls while the first agent's runner answers with ``head``."""
+    """Send calls while the first agent's runner responds with ``head``."""
     context.results = []
 
     async def script(world):
@@ -387,49 +399,49 @@
 
 
 @when(
-    'one runner asks for {rest_s:g} s of rest for {span_s:g} s, while'
-    ' {per_s:g} calls a second come'
+    'one runner requests a backoff of {backoff_s:g} s for {span_s:g} s, while'
+    ' {per_s:g} calls a second arrive'
 )
-def rest_behind_agent(context, rest_s, span_s, per_s):
-    context.rest_s = rest_s
-    head = _turn_away(rest_s)
+def back_off_behind_agent(context, backoff_s, span_s, per_s):
+    context.backoff_s = backoff_s
+    head = _refusal(backoff_s)
     _play_calls(context, head, 1.0, 1.0 + span_s, per_s, span_s + 6.0)
 
 
 @when(
-    'one runner asks for {rest_s:g} s of rest for {span_s:g} s, and {count:d}'
-    ' calls with keys come'
+    'one runner requests a backoff of {backoff_s:g} s for {span_s:g} s, and'
+    ' {count:d} calls with keys arrive'
 )
-def rest_with_keys(context, rest_s, span_s, count):
-    head = _turn_away(rest_s)
+def back_off_with_keys(context, backoff_s, span_s, count):
+    head = _refusal(backoff_s)
     _play_calls(context, head, 0.0, span_s, count / span_s, span_s)
 
 
 @when(
-    'one runner says that it leaves, while {per_s:g} calls a second come for'
-    ' {span_s:g} s'
+    'one runner announces that it leaves, while {per_s:g} calls a second'
+    ' arrive for {span_s:g} s'
 )
 def leave_behind_agent(context, per_s, span_s):
     _play_calls(context, LEAVES, 1.0, span_s + 5.0, per_s, span_s)
 
 
-@then('that runner gets at most {most:d} requests into a rest')
-def check_agent_rests(context, most):
+@then('that runner gets at most {most:d} requests during a backoff')
+def check_agent_backoffs(context, most):
     starts_s = [at_s for at_s, _ in context.runner.starts]
     assert context.runner.refusals
-    for told_s in context.runner.refusals:
-        until_s = told_s + context.rest_s
-        late = [x for x in starts_s if told_s + 0.5 < x < until_s]
-        assert len(late) <= most, (told_s, late)
+    for refused_s in context.runner.refusals:
+        until_s = refused_s + context.backoff_s
+        late = [x for x in starts_s if refused_s + 0.5 < x < until_s]
+        assert len(late) <= most, (refused_s, late)
 
 
-@then('all calls have been answered whole')
-def check_whole(context):
+@then('all calls have been answered completely')
+def check_complete(context):
     for mark, result in context.results:
         assert result.data == system.whole(mark), (mark, result.problem)
 
 
-@then('that runner has run some after it takes requests again')
+@then('that runner has run some after it accepts requests again')
 def check_runs_again(context):
     starts_s = [at_s for at_s, _ in context.runner.starts]
     assert any(at_s > context.back_s for at_s in starts_s), starts_s[-1]
@@ -442,19 +454,19 @@
         assert runs == 1, (mark, runs)
 
 
-@then('that runner gets nothing later than {late_s:g} s after its word')
+@then('that runner gets nothing later than {late_s:g} s after that')
 def check_leaves_agent(context, late_s):
-    told_s = context.runner.words[0]
-    late = [x for x, _ in context.runner.starts if x > told_s + late_s]
-    assert not late, (told_s, late)
+    announced_s = context.runner.words[0]
+    late = [x for x, _ in context.runner.starts if x > announced_s + late_s]
+    assert not late, (announced_s, late)
 
 
 @when(
-    'one runner asks for {rest_s:g} s of rest from {from_s:g} s on, in'
-    ' {count:d} calls of {span_s:g} s'
+    'one runner requests a backoff of {backoff_s:g} s from {from_s:g} s on, in'
+    ' {count:d} calls over {span_s:g} s'
 )
-def rest_in_burst(context, rest_s, from_s, count, span_s):
-    head, per_s = _turn_away(rest_s), count / span_s
+def back_off_in_burst(context, backoff_s, from_s, count, span_s):
+    head, per_s = _refusal(backoff_s), count / span_s
     _play_calls(context, head, from_s, 1.0, per_s, span_s, DRAFTS)
 
 
