--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -530,7 +530,7 @@
     ),
     Mutant(
         'routes: no wait for a first runner', 'picking',
-        'while picked is None and self._may_come(exchange, until_s):',
+        'while picked is None and self._is_worth_waiting(exchange, until_s):',
         'while False:', 'forwarding', 'before any runner',
     ),
     Mutant(
@@ -606,17 +606,17 @@
     ),
     Mutant(
         'rests: no word of leaving is heard', 'forwarding',
-        'if head.is_leaving and self.known.rests.leave(runner):', 'if False:',
-        'rests',
+        'if head.is_leaving and self.known.backoffs.mark_leaving(runner):',
+        'if False:', 'rests',
     ),
     Mutant(
-        'rests: a word is of the id, not of the life', 'rests',
+        'rests: a word is of the id, not of the life', 'backoffs',
         'return runner.instance_id, runner.lives, runner.born_ms',
         'return runner.instance_id, 0, 0', 'rests',
     ),
     Mutant(
         'rests: what was placed before is sent all the same', 'forwarding',
-        'if not self.known.rests.allows(backend.instance, now_s):',
+        'if not self.known.backoffs.may_send(backend.instance, now_s):',
         'if False:', 'rests',
     ),
     Mutant(
@@ -624,13 +624,14 @@
         'exchange.unsent += is_unsent', 'pass', 'rests',
     ),
     Mutant(
-        'rests: all come at once when one is over', 'reststates',
-        'return self.allows(now_s) and not self.is_tried',
-        'return self.allows(now_s)', 'rests',
+        'rests: all come at once when one is over', 'backoffstates',
+        'return self.may_send(now_s) and not self.is_probing',
+        'return self.may_send(now_s)', 'rests',
     ),
     Mutant(
         'rests: a runner that takes requests again stays in doubt',
-        'backends', 'if self.rests.takes(backend.instance, now_s):',
+        'backends',
+        'if self.backoffs.record_accepted(backend.instance, now_s):',
         'if False:', 'rests',
     ),
     Mutant(
@@ -645,12 +646,12 @@
     ),
     Mutant(
         'rests: the end of one is not waited for', 'picking',
-        'if over_s is not None and over_s <= until_s:', 'if False:', 'rests',
+        'if end_s is not None and end_s <= until_s:', 'if False:', 'rests',
     ),
     Mutant(
         'rests: hopeless requests wait', 'picking',
-        'if over_s is not None and over_s <= until_s:',
-        'if over_s is not None:', 'rests',
+        'if end_s is not None and end_s <= until_s:',
+        'if end_s is not None:', 'rests',
     ),
     Mutant(
         'rests: an agent hears none', 'agent',
@@ -658,7 +659,7 @@
     ),
     Mutant(
         'rests: an agent takes tickets in one', 'agent',
-        'if not self.rest_state.allows(now_s):', 'if False:', 'rests',
+        'if not self.backoff_state.may_send(now_s):', 'if False:', 'rests',
         'agent',
     ),
     Mutant(
@@ -731,8 +732,8 @@
         'exchange.is_suspect = True', 'quarantine',
     ),
     Mutant(
-        'rests: one rest is remembered for ever', 'rests',
-        'now_s < state.until_s + DOUBT_S', 'True', 'rests',
+        'rests: one rest is remembered for ever', 'backoffs',
+        'now_s < state.until_s + UNCONFIRMED_S', 'True', 'rests',
     ),
     Mutant(
         'quarantine: suspects are told for as long as they count',
@@ -907,7 +908,8 @@
     ),
     Mutant(
         'warmup: a first owner in a hall without gateways', 'warmup',
-        '    if not near:\n', '    if False:\n', 'warmup', 'without gateways',
+        '    if not local:\n', '    if False:\n', 'warmup',
+        'without gateways',
     ),
     Mutant(
         'lives: a start in the future', 'registry',
@@ -1221,22 +1223,23 @@
     ),
     Mutant(
         'warmup: no window', 'warmup',
-        'return len(last_s) < most or last_s[0] + WINDOW_S <= now_s',
+        'return len(sent_s) < quota or sent_s[0] + WINDOW_S <= now_s',
         'return True', 'warmup',
     ),
     Mutant(
         'warmup: all gateways own all runners', 'warmup',
-        'return found.others if ahead <= found.near else 0',
-        'return found.others', 'warmup',
+        'return quotas.secondary if rank <= quotas.local_owners else 0',
+        'return quotas.secondary', 'warmup',
     ),
     Mutant(
         'warmup: all gateways elsewhere own all runners', 'warmup',
-        'return found.others if ahead < found.away else 0',
-        'return found.others', 'warmup',
+        'return quotas.secondary if rank < quotas.remote_owners else 0',
+        'return quotas.secondary', 'warmup',
     ),
     Mutant(
         'warmup: the whole bound for one view', 'warmup',
-        'half = max(1, int(bound) // 2)', 'half = int(bound)', 'warmup',
+        'half = max(1, int(limit_per_s) // 2)', 'half = int(limit_per_s)',
+        'warmup',
     ),
     Mutant(
         'warmup: a start forgets what was sent', 'warmup',
@@ -1250,12 +1253,12 @@
     ),
     Mutant(
         'warmup: no owner elsewhere', 'warmup',
-        'return Parts(first, 1, left // 2, left - left // 2)',
-        'return Parts(first, 1, left, 0)', 'warmup',
+        'Quotas(primary, 1, remaining // 2, remaining - remaining // 2)',
+        'Quotas(primary, 1, remaining, 0)', 'warmup',
     ),
     Mutant(
         'warmup: lost gateways are forgotten at once', 'warmup',
-        'KEPT_S = 30.0', 'KEPT_S = 0.0', 'warmup',
+        'RETENTION_S = 30.0', 'RETENTION_S = 0.0', 'warmup',
     ),
     Mutant(
         'warmup: what was turned away counts', 'warmup',
@@ -1270,13 +1273,13 @@
         'more += COLD_COST', 'pass', 'warmup',
     ),
     Mutant(
-        'lines: only in order of arrival', 'lines',
-        'place = Place((priority, next(self._arrivals)))',
-        'place = Place((0, next(self._arrivals)))', 'warmup',
+        'lines: only in order of arrival', 'waitqueues',
+        'waiter = Waiter((priority, next(self._arrivals)))',
+        'waiter = Waiter((0, next(self._arrivals)))', 'warmup',
     ),
     Mutant(
         'picking: who comes late waits all the same', 'picking',
-        'if turn_s != warmup.NEVER and turn_s > until_s:', 'if False:',
+        'if send_s != warmup.NEVER and send_s > until_s:', 'if False:',
         'warmup',
     ),
     Mutant(
