--- a/bench/shifts.py
+++ b/bench/shifts.py
@@ -58,7 +58,7 @@
 class Plan(typing.NamedTuple):
     """A map on its way, and when it is in use."""
 
-    placed: mapplans.Placed
+    placed: mapplans.Placement
     from_s: float
 
 
@@ -105,7 +105,7 @@
         self.likes = self._likes()
         self._skew = None
 
-    def use(self, placed: mapplans.Placed) -> None:
+    def use(self, placed: mapplans.Placement) -> None:
         """Take a map into use."""
         self.placed, self.coming = placed, None
         self._skew = None
@@ -151,12 +151,12 @@
         new = [
             sum(
                 len(set(after[rank]) - set(before[rank]))
-                for before, after in zip(self.placed, planned.placed)
+                for before, after in zip(self.placed, planned.placement)
             )
             for rank in range(self.made.ranks)
         ]
         copied_s = max(new) * self.made.sheet.copy_s
-        self.coming = Plan(planned.placed, now_s + copied_s + ORDERS_S)
+        self.coming = Plan(planned.placement, now_s + copied_s + ORDERS_S)
 
 
 #: Plans where it wants to: the world, a report or None, whether demand has
--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -253,7 +253,7 @@
     group.whole = counted
     states = [report.state for report, _ in group.reports.values()]
     change = mapchanges.Change('g', 1, 9, _first_map())
-    group.maps[9] = change.placed
+    group.maps[9] = change.placement
     group.progress = mapchanges.Progress(change, states)
     context.kinds = []
     fields = {'prepared': 9}
--- a/features/steps/mapplans_steps.py
+++ b/features/steps/mapplans_steps.py
@@ -94,7 +94,7 @@
         context.placed, context.counts, context.paces, context.sheet
     )
     if planned is not None:
-        context.placed = planned.placed
+        context.placed = planned.placement
 
 
 @when('a map is planned')
--- a/mountridge/experts/mapchanges.py
+++ b/mountridge/experts/mapchanges.py
@@ -45,7 +45,7 @@
     group: str
     epoch: int
     version: int
-    placed: ranks.Placed  # [] where another leader began it
+    placement: ranks.Placement  # [] where another leader began it
     step: int = ranks.NO_VERSION
 
 
@@ -157,7 +157,7 @@
 
     def _order(self, kind: str) -> ranks.RankOrder:
         change = self.change
-        placed = change.placed if kind == ranks.PREPARE else []
+        placed = change.placement if kind == ranks.PREPARE else []
         return ranks.RankOrder(
             kind, change.epoch, change.version, change.step, placed
         )
--- a/mountridge/experts/mapdeltas.py
+++ b/mountridge/experts/mapdeltas.py
@@ -40,7 +40,9 @@
 NO_MAP = PackedMap(ranks.NO_VERSION, 0, 0, 0, b'')
 
 
-def pack(placed: ranks.Placed, base: int, known: ranks.Placed) -> PackedMap:
+def pack(
+    placed: ranks.Placement, base: int, known: ranks.Placement
+) -> PackedMap:
     """Return ``placed`` as it differs from ``known`` of version ``base``.
 
     ``known`` is [] where the receiver has no map; ``base`` then is
@@ -54,7 +56,7 @@
     return PackedMap(base, len(placed), len(placed[0]), places, packed)
 
 
-def unpack(packed: PackedMap, known: ranks.Placed) -> ranks.Placed:
+def unpack(packed: PackedMap, known: ranks.Placement) -> ranks.Placement:
     """Return the map; ``known`` is the one of the version ``packed.base``.
 
     :raises BadMessage: it is not a map of the size that it tells.
@@ -76,7 +78,7 @@
     return _nested(data, packed)
 
 
-def _flat(placed: ranks.Placed, places: int) -> bytes:
+def _flat(placed: ranks.Placement, places: int) -> bytes:
     """Return all places in order, two bytes each."""
     flat = array.array('H')
     for by_rank in placed:
@@ -86,7 +88,7 @@
     return _little_endian(flat).tobytes()
 
 
-def _nested(data: bytes, packed: PackedMap) -> ranks.Placed:
+def _nested(data: bytes, packed: PackedMap) -> ranks.Placement:
     flat = _little_endian(array.array('H', data))
     places = packed.places
     held = [
--- a/mountridge/experts/mapplans.py
+++ b/mountridge/experts/mapplans.py
@@ -36,7 +36,7 @@
 #: rank. One copy is always allowed.
 COPIES_S = 0.45
 
-Placed = ranks.Placed
+Placement = ranks.Placement
 
 
 class Sheet(typing.NamedTuple):
@@ -58,12 +58,12 @@
 class Planned(typing.NamedTuple):
     """A map that pays, and why."""
 
-    placed: Placed
+    placement: Placement
     reason: str
 
 
 def plan(
-    placed: Placed, counts: list[float], paces: list[float], sheet: Sheet
+    placed: Placement, counts: list[float], paces: list[float], sheet: Sheet
 ) -> Planned | None:
     """Return a better map, None where none pays.
 
@@ -106,7 +106,7 @@
 
 
 def _spread(
-    placed: Placed,
+    placed: Placement,
     load: list[list[float]],
     paces: list[float],
     sheet: Sheet,
--- a/mountridge/experts/ranks.py
+++ b/mountridge/experts/ranks.py
@@ -13,7 +13,7 @@
 from mountridge import errors
 
 __all__ = [
-    'ARM', 'GO', 'HOLD', 'NO_ORDER', 'NO_VERSION', 'PREPARE', 'Placed',
+    'ARM', 'GO', 'HOLD', 'NO_ORDER', 'NO_VERSION', 'PREPARE', 'Placement',
     'RankOrder', 'RankState', 'check_counts', 'check_experts', 'check_state',
 ]  # fmt: skip
 
@@ -31,7 +31,7 @@
 
 
 #: A map: by set of layers and rank, the experts.
-Placed = list[list[list[int]]]
+Placement = list[list[list[int]]]
 
 
 class RankState(typing.NamedTuple):
@@ -63,7 +63,7 @@
     version: int
     step: int
     #: For PREPARE only.
-    placed: Placed
+    placed: Placement
 
 
 NO_ORDER = RankOrder('', NO_VERSION, NO_VERSION, NO_VERSION, [])
--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -132,11 +132,11 @@
             return
         while len(group.maps) >= KEPT_MAPS:
             del group.maps[next(iter(group.maps))]
-        group.maps[version] = planned.placed
+        group.maps[version] = planned.placement
         states = [report.state for report, _ in group.reports.values()]
         group.progress = mapchanges.Progress(
             mapchanges.Change(
-                state.group, state.epoch, version, planned.placed
+                state.group, state.epoch, version, planned.placement
             ),
             states,
         )
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -65,7 +65,7 @@
         self.told: tuple[mapchanges.Phase, int, int] | None = None
         self.phase_s = 0.0
         #: Maps by version that sidecars may hold, the newest last.
-        self.maps: dict[int, ranks.Placed] = {}
+        self.maps: dict[int, ranks.Placement] = {}
         self._holding: set[int] = set()
         self._whole_until_s = 0.0
         self._looked_s = float('-inf')
@@ -202,7 +202,7 @@
         if self.change is None:
             return True
         is_held = self.change.step != ranks.NO_VERSION
-        return self.outdated and not is_held and bool(self.change.placed)
+        return self.outdated and not is_held and bool(self.change.placement)
 
     def is_watching(self, rank: int) -> bool:
         """Return whether a rank is to report each pass of a change."""
@@ -221,7 +221,7 @@
         """Return whether it is known what all ranks hold."""
         return all(self.knows_experts(rank) for rank in self.reports)
 
-    def placed(self) -> ranks.Placed:
+    def placed(self) -> ranks.Placement:
         """Return the map in use, by set and rank."""
         listed = [
             self.reports[rank][0].experts for rank in sorted(self.reports)
--- a/mountridge/sidecar.py
+++ b/mountridge/sidecar.py
@@ -142,7 +142,7 @@
         #: The order carried out last, and when.
         self._order = (ranks.NO_ORDER, float('-inf'))
         #: The newest maps that came, by version, the newest last.
-        self._maps: dict[int, ranks.Placed] = {}
+        self._maps: dict[int, ranks.Placement] = {}
         self._wake = trio.Event()
 
     async def run(self) -> None:
@@ -266,7 +266,7 @@
 
     def _unpack(
         self, order: ranks.RankOrder, packed: mapdeltas.PackedMap
-    ) -> ranks.Placed:
+    ) -> ranks.Placement:
         """Return the map that came with an order, and keep it.
 
         :raises BadMessage: it can't be read, or differs from another map
