--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -683,7 +683,7 @@
         packed = demand.pack(counts)
         report = messages.RankReport('i', state, [], packed, 1)
         assert messages.decode(messages.encode(report)).message == report
-        assert round(state.pace) >= 0
+        assert round(state.slowdown) >= 0
         context.read += 1
 
 
--- a/mountridge/experts/ranks.py
+++ b/mountridge/experts/ranks.py
@@ -51,7 +51,7 @@
     running: int
     waiting: int
     memory_tokens: int  # in use
-    pace: float  # over 1: it is slow
+    slowdown: float  # current step time / usual step time
     born_ms: int = 0  # Unix time of the engine's start; 0: not told
 
 
@@ -78,7 +78,7 @@
     _check_span('size', [state.size], 1, MOST_RANKS)
     requests = [state.running, state.waiting]
     _check_span('requests', requests, 0, MOST_REQUESTS)
-    _check_span('pace', [state.pace], 0, MOST_PACE)
+    _check_span('pace', [state.slowdown], 0, MOST_PACE)
     counted = [state.epoch, state.step, state.memory_tokens, state.born_ms]
     _check_span('number', counted, 0, MOST_NUMBER)
     versions = [state.map_version, state.prepared, state.armed]
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -128,7 +128,7 @@
             report.instance_id,
             state.running,
             state.waiting,
-            round(100 * state.pace),
+            round(100 * state.slowdown),
             list(self.by_name).index(state.group) + 1 if group else 0,
             state.is_open or group is None,
         )
--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -98,7 +98,7 @@
         sheet: mapplans.Sheet,
     ) -> None:
         """Look for a map that pays, and begin its change."""
-        paces = [state.pace for state in states]
+        paces = [state.slowdown for state in states]
         try:
             planned = await self.offload(
                 mapplans.plan,
--- a/mountridge/sidecar.py
+++ b/mountridge/sidecar.py
@@ -110,7 +110,7 @@
         state.armed,
         state.armed_step,
         state.held_step,
-        round(state.pace),
+        round(state.slowdown),
     )
 
 
