--- a/bench/shifts.py
+++ b/bench/shifts.py
@@ -40,17 +40,17 @@
 
     ranks: int
     sets: int
-    sheet: mapplans.Sheet
+    sheet: mapplans.EngineParameters
     shift_s: float
     share: float  # of the experts that change places in a shift
 
 
 DEPLOYMENTS = {
     'slow copies': Deployment(
-        12, 3, mapplans.Sheet(11, 4, 96, 0.4), 3.9, 0.59
+        12, 3, mapplans.EngineParameters(11, 4, 96, 0.4), 3.9, 0.59
     ),
     'fast copies': Deployment(
-        16, 4, mapplans.Sheet(5, 2, 64, 0.04), 3.3, 0.59
+        16, 4, mapplans.EngineParameters(5, 2, 64, 0.04), 3.3, 0.59
     ),
 }
 
--- a/features/steps/mapplans_steps.py
+++ b/features/steps/mapplans_steps.py
@@ -11,7 +11,7 @@
 RANKS, EXPERTS, SETS = 16, 64, 4
 #: Choices of the most chosen expert.
 CHOICES = 10000
-SHEET = mapplans.Sheet(places=5, spare=2, experts=EXPERTS)
+SHEET = mapplans.EngineParameters(slots=5, max_new=2, experts=EXPERTS)
 
 
 @given('a group of 16 ranks with 64 experts in 4 sets, 5 places and 2 spare')
@@ -24,7 +24,9 @@
     'whose copies take {copy_s:g} s'
 )
 def make_slow_copies(context, copy_s):
-    sheet = mapplans.Sheet(places=11, spare=4, experts=96, copy_s=copy_s)
+    sheet = mapplans.EngineParameters(
+        slots=11, max_new=4, experts=96, copy_s=copy_s
+    )
     _make_group(context, 12, 3, sheet)
 
 
@@ -33,7 +35,9 @@
     'and {places:d} places'
 )
 def make_sized_group(context, ranks, experts, sets, places):
-    sheet = mapplans.Sheet(places, spare=2, experts=experts, copy_s=0.0026)
+    sheet = mapplans.EngineParameters(
+        places, max_new=2, experts=experts, copy_s=0.0026
+    )
     _make_group(context, ranks, sets, sheet)
 
 
@@ -126,8 +130,8 @@
     for before, after in zip(context.before, context.placed):
         assert {e for held in after for e in held} == set(range(EXPERTS))
         for old, new in zip(before, after):
-            assert len(new) == len(set(new)) <= SHEET.places, new
-            assert len(set(new) - set(old)) <= SHEET.spare, (old, new)
+            assert len(new) == len(set(new)) <= SHEET.slots, new
+            assert len(set(new) - set(old)) <= SHEET.max_new, (old, new)
 
 
 @then('at most {most:d} experts are new to a rank over all sets')
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -33,7 +33,9 @@
         self.world = world
         self.node = types.SimpleNamespace(term=world.term)
         self.metrics = types.SimpleNamespace(incr=lambda _: None)
-        sheet = mapplans.Sheet(SHEET.places, SHEET.spare, SHEET.experts)
+        sheet = mapplans.EngineParameters(
+            SHEET.places, SHEET.spare, SHEET.experts
+        )
         self.groups = groups.Groups(self, self, lambda _: sheet)
         if not world.alone:
             self.groups.give_elsewhere = self._give_elsewhere
--- a/mountridge/entrycontroller.py
+++ b/mountridge/entrycontroller.py
@@ -49,7 +49,7 @@
     made = controller.build(app)
     made.groups.planner.offload = trio.to_thread.run_sync
 
-    def sheet(instance_id: str) -> mapplans.Sheet | None:
+    def sheet(instance_id: str) -> mapplans.EngineParameters | None:
         """Return what a runner's engine allows, by the routes in force."""
         backend = entry.backends.by_id.get(instance_id)
         if backend is None or entry.index is None:
@@ -58,7 +58,7 @@
         engine = service.engine if service else None
         if engine is None or not engine.experts:
             return None
-        return mapplans.Sheet(
+        return mapplans.EngineParameters(
             engine.places, engine.spare, engine.experts, engine.copy_s
         )
 
--- a/mountridge/experts/mapplans.py
+++ b/mountridge/experts/mapplans.py
@@ -14,7 +14,7 @@
 
 from mountridge.experts import maps, mapsearch, ranks
 
-__all__ = ['Planned', 'Sheet', 'plan']
+__all__ = ['Planned', 'EngineParameters', 'plan']
 
 #: Part by which the passes' slowest ranks must get faster, set by set, for
 #: a change to pay for its copies and its orders.
@@ -39,17 +39,17 @@
 Placement = ranks.Placement
 
 
-class Sheet(typing.NamedTuple):
+class EngineParameters(typing.NamedTuple):
     """What an engine allows of expert maps."""
 
-    places: int  # experts that a rank holds at most, by set
-    spare: int  # experts new to a rank, by set, in one change
+    slots: int  # most experts per rank and set (setting `places`)
+    max_new: int  # new experts per rank and set in a change (`spare`)
     experts: int  # of one set
     copy_s: float = 0.0  # to copy one expert; 0 where it is not known
 
     def most_new(self, sets: int) -> int:
         """Return how many experts may be new to a rank in one change."""
-        most = self.spare * sets
+        most = self.max_new * sets
         if self.copy_s <= 0:
             return most
         return max(1, min(most, int(COPIES_S / self.copy_s)))
@@ -63,7 +63,10 @@
 
 
 def plan(
-    placed: Placement, counts: list[float], paces: list[float], sheet: Sheet
+    placed: Placement,
+    counts: list[float],
+    paces: list[float],
+    sheet: EngineParameters,
 ) -> Planned | None:
     """Return a better map, None where none pays.
 
@@ -109,7 +112,7 @@
     placed: Placement,
     load: list[list[float]],
     paces: list[float],
-    sheet: Sheet,
+    sheet: EngineParameters,
 ) -> list[maps.ExpertMap]:
     """Return the maps of all sets of layers, balanced anew."""
     slow = {r for r, pace in enumerate(paces) if pace >= RELIEVE_PACE}
@@ -126,8 +129,8 @@
     return mapsearch.spread(
         relieved,
         load,
-        sheet.places,
-        sheet.spare,
+        sheet.slots,
+        sheet.max_new,
         sheet.most_new(len(placed)),
         LEAST_MOVE_GAIN / len(paces),
         weighed,
@@ -139,7 +142,7 @@
     placed: list[list[int]],
     load: list[float],
     slow: set[int],
-    sheet: Sheet,
+    sheet: EngineParameters,
     taken_by_all: collections.Counter[int],
 ) -> list[list[int]]:
     """Return a map in which the slow ranks hold as little as can be.
@@ -159,7 +162,7 @@
                 able = [
                     other
                     for other in range(len(new))
-                    if other not in slow and taken[other] < sheet.spare
+                    if other not in slow and taken[other] < sheet.max_new
                 ]
                 fewest = min((taken_by_all[r] for r in able), default=0)
                 first = [r for r in able if taken_by_all[r] == fewest]
@@ -181,12 +184,12 @@
     new: list[list[int]],
     load: list[float],
     able: list[int],
-    sheet: Sheet,
+    sheet: EngineParameters,
     copies: collections.Counter[int],
 ) -> int | None:
     """Return a rank of ``able`` with a free place, made where none is."""
     each = maps.rank_loads(new, load)
-    free = [rank for rank in able if len(new[rank]) < sheet.places]
+    free = [rank for rank in able if len(new[rank]) < sheet.slots]
     if free:
         return min(free, key=lambda rank: (each[rank], rank))
     doubled = [
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -43,7 +43,7 @@
         self,
         app: application.Application,
         replica: replicas.Replica,
-        sheet: typing.Callable[[str], mapplans.Sheet | None],
+        sheet: typing.Callable[[str], mapplans.EngineParameters | None],
     ):
         self.app = app
         self.replica = replica
--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -48,7 +48,7 @@
         self,
         app: application.Application,
         replica: replicas.Replica,
-        sheet: typing.Callable[[str], mapplans.Sheet | None],
+        sheet: typing.Callable[[str], mapplans.EngineParameters | None],
     ):
         self.app = app
         self.replica = replica
@@ -95,7 +95,7 @@
         self,
         group: rankgroups.Group,
         states: list[ranks.RankState],
-        sheet: mapplans.Sheet,
+        sheet: mapplans.EngineParameters,
     ) -> None:
         """Look for a map that pays, and begin its change."""
         paces = [state.slowdown for state in states]
