--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -327,7 +327,7 @@
     async def search(*_args):
         # What `Group.take` notes of a shift.
         context.group.outdated = True
-        return mapplans.Planned(_first_map(), 'better')
+        return mapplans.MapPlan(_first_map(), 'better')
 
     async def propose(_payload):
         return 12
--- a/mountridge/experts/mapplans.py
+++ b/mountridge/experts/mapplans.py
@@ -14,7 +14,7 @@
 
 from mountridge.experts import maps, mapsearch, ranks
 
-__all__ = ['Planned', 'EngineParameters', 'plan']
+__all__ = ['EngineParameters', 'MapPlan', 'plan']
 
 #: Part by which the passes' slowest ranks must get faster, set by set, for
 #: a change to pay for its copies and its orders.
@@ -55,7 +55,7 @@
         return max(1, min(most, int(COPIES_S / self.copy_s)))
 
 
-class Planned(typing.NamedTuple):
+class MapPlan(typing.NamedTuple):
     """A map that pays, and why."""
 
     placement: Placement
@@ -67,7 +67,7 @@
     counts: list[float],
     paces: list[float],
     sheet: EngineParameters,
-) -> Planned | None:
+) -> MapPlan | None:
     """Return a better map, None where none pays.
 
     ``counts`` has the choices of each expert, set by set; ``paces`` how
@@ -84,7 +84,7 @@
     if before <= 0 or (before - after) / before < LEAST_GAIN:
         return None
     mean = sum(counts) / max(1, len(paces))
-    return Planned(
+    return MapPlan(
         [[list(held) for held in by_rank] for by_rank in new],
         f'slowest ranks at {before / mean:.2f} times the mean, then '
         f'{after / mean:.2f}, for {moved} experts copied'
--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -121,7 +121,7 @@
         self,
         group: rankgroups.Group,
         state: ranks.RankState,
-        planned: mapplans.Planned,
+        planned: mapplans.MapPlan,
     ) -> None:
         """Give a plan its version, which no other plan ever has."""
         command = commands.NextVersion(self.app.wall_s())
