--- a/bench/shifts.py
+++ b/bench/shifts.py
@@ -204,7 +204,7 @@
     def policy(world: World, counts, shifted: bool, now_s: float) -> None:
         if counts is not None:
             choices = demand.pack([round(count) for count in counts])
-            outdated[0] |= known.take(choices, now_s)
+            outdated[0] |= known.record(choices, now_s)
         if not (known.is_settled if waits else known.mean):
             return
         copying = world.coming and now_s < world.coming.from_s - ORDERS_S
--- a/features/steps/demand_steps.py
+++ b/features/steps/demand_steps.py
@@ -42,7 +42,7 @@
         round(amount * ((1 - OWN_PART) * like + OWN_PART * its))
         for like, its in zip(context.likes, own)
     ]
-    if context.demand.take(demand.pack(counts), context.now_s):
+    if context.demand.record(demand.pack(counts), context.now_s):
         context.told_s.append(context.now_s)
 
 
@@ -50,7 +50,7 @@
     until_s = context.now_s + span_s
     while context.now_s < until_s:
         if idle:
-            context.demand.take(demand.pack([0] * EXPERTS), context.now_s)
+            context.demand.record(demand.pack([0] * EXPERTS), context.now_s)
         else:
             _report(context)
         context.now_s += REPORT_S / RANKS
@@ -137,7 +137,7 @@
     change = mapchanges.Change('g', 1, 9, [[[1], [2]]])
     context.group.progress = mapchanges.Progress(change, [])
     # The group's own counts stand in for those of the steps above.
-    context.demand = types.SimpleNamespace(take=_taker(context))
+    context.demand = types.SimpleNamespace(record=_taker(context))
 
 
 def _taker(context):
--- a/mountridge/experts/demand.py
+++ b/mountridge/experts/demand.py
@@ -76,7 +76,7 @@
         """Return whether the mean holds only what was asked for since."""
         return bool(self.mean) and not self.is_shifting
 
-    def take(self, choices: Choices, now_s: float) -> bool:
+    def record(self, choices: Choices, now_s: float) -> bool:
         """Add the choices since the last report; tell if demand shifted."""
         counts, scale = choices.parts, choices.scale
         if len(self._newest) != len(counts):
--- a/mountridge/experts/mapchanges.py
+++ b/mountridge/experts/mapchanges.py
@@ -89,9 +89,9 @@
         self._unfinished: set[int] = set()
         self._holding: set[int] = set()
         for state in states:
-            self.take(state)
+            self.record(state)
 
-    def take(self, state: ranks.RankState) -> None:
+    def record(self, state: ranks.RankState) -> None:
         """Take what a rank reports."""
         change, rank = self.change, state.rank
         self._states[rank] = state
@@ -129,7 +129,7 @@
         step = newest + math.ceil(AHEAD_S / pass_s)
         self.change = self.change._replace(step=step)
         for state in list(self._states.values()):
-            self.take(state)
+            self.record(state)
 
     def waiting_for(self) -> list[int]:
         """Return the ranks that are to follow an order now."""
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -94,10 +94,10 @@
         else:
             self._holding.add(state.rank)
         if self.progress is not None:
-            self.progress.take(state)
+            self.progress.record(state)
         self._time_passes(state.step, now_s)
         choices = report.counts
-        if choices.parts and self.demand.take(choices, now_s):
+        if choices.parts and self.demand.record(choices, now_s):
             self.outdated = True
             self.plan_from_s = now_s
             logger.info('demand shifted', group=state.group, step=state.step)
