--- a/features/steps/demand_steps.py
+++ b/features/steps/demand_steps.py
@@ -116,13 +116,13 @@
     'of the largest'
 )
 def check_packed(context, size, part):
-    assert len(context.packed.parts) == size
+    assert len(context.packed.levels) == size
     largest = max(context.counts)
     for sent, read in zip(context.counts, demand.unpack(context.packed)):
         assert abs(sent - read) <= largest / part, (sent, read)
 
 
-def _rank_report(context, epoch, choices=demand.NO_CHOICES):
+def _rank_report(context, epoch, choices=demand.NO_COUNTS):
     state = ranks.RankState(
         'g', epoch, 0, 12, True, 7, 3, 3, ranks.NO_VERSION,
         ranks.NO_VERSION, ranks.NO_VERSION, 4, 0, 1000, 1.0,
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -743,7 +743,7 @@
 
 @then('no choices are told, and none are made up')
 def check_no_choices(context):
-    assert context.choices == demand.NO_CHOICES, context.choices
+    assert context.choices == demand.NO_COUNTS, context.choices
     _count(context, [2, 11])
     assert demand.unpack(context.choices)[1] == 2, context.choices
 
@@ -763,7 +763,7 @@
 def _report(context, born_ms):
     numbers = [1, 0, 1, True, 5, 0, -1, -1, -1, -1, 1, 0, 0, 1.0]
     state = ranks.RankState('g', *numbers, born_ms)
-    report = messages.RankReport('i', state, [], demand.NO_CHOICES, -1)
+    report = messages.RankReport('i', state, [], demand.NO_COUNTS, -1)
     peer = types.SimpleNamespace(route=b'r')
     return context.groups.on_report(peer, report)
 
--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -206,7 +206,7 @@
     def report(self, rank, size, known_map=ranks.NO_VERSION, **fields):
         state = _state(rank, size, **fields)
         report = messages.RankReport(
-            f'i-{rank}', state, [[1]], demand.NO_CHOICES, known_map
+            f'i-{rank}', state, [[1]], demand.NO_COUNTS, known_map
         )
 
         reply = self.groups.on_report(PEER, report)
--- a/mountridge/experts/demand.py
+++ b/mountridge/experts/demand.py
@@ -9,7 +9,7 @@
 
 import typing
 
-__all__ = ['Choices', 'Demand', 'NO_CHOICES', 'pack', 'unpack']
+__all__ = ['PackedCounts', 'Demand', 'NO_COUNTS', 'pack', 'unpack']
 
 #: Counts are compared with the mean each time that they span this long. Of
 #: shorter spans single prompts tell too much: over 0.2 s the distance is 0.10
@@ -29,7 +29,7 @@
 MOST = 255
 
 
-class Choices(typing.NamedTuple):
+class PackedCounts(typing.NamedTuple):
     """Counts of choices, a byte for each expert.
 
     A rank's report with counts as numbers takes 3 times the bytes, and
@@ -38,26 +38,26 @@
     """
 
     scale: float  # choices for each step of a byte
-    parts: bytes
+    levels: bytes
 
 
-NO_CHOICES = Choices(0.0, b'')
+NO_COUNTS = PackedCounts(0.0, b'')
 
 
-def pack(counts: list[int]) -> Choices:
+def pack(counts: list[int]) -> PackedCounts:
     """Return counts as they are sent."""
     most = max(counts, default=0)
     if most <= 0:
-        return Choices(0.0, bytes(len(counts)))
+        return PackedCounts(0.0, bytes(len(counts)))
     # In whole numbers: half of the time of dividing and rounding each.
     half = most // 2
     parts = bytes([(MOST * count + half) // most for count in counts])
-    return Choices(most / MOST, parts)
+    return PackedCounts(most / MOST, parts)
 
 
-def unpack(choices: Choices) -> list[float]:
+def unpack(choices: PackedCounts) -> list[float]:
     """Return the counts that were sent, as far as they are told."""
-    return [choices.scale * part for part in choices.parts]
+    return [choices.scale * part for part in choices.levels]
 
 
 class Demand:
@@ -76,9 +76,9 @@
         """Return whether the mean holds only what was asked for since."""
         return bool(self.mean) and not self.is_shifting
 
-    def record(self, choices: Choices, now_s: float) -> bool:
+    def record(self, choices: PackedCounts, now_s: float) -> bool:
         """Add the choices since the last report; tell if demand shifted."""
-        counts, scale = choices.parts, choices.scale
+        counts, scale = choices.levels, choices.scale
         if len(self._newest) != len(counts):
             self._newest = [0.0] * len(counts)
             self.mean = []
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -97,7 +97,7 @@
             self.progress.record(state)
         self._time_passes(state.step, now_s)
         choices = report.counts
-        if choices.parts and self.demand.record(choices, now_s):
+        if choices.levels and self.demand.record(choices, now_s):
             self.outdated = True
             self.plan_from_s = now_s
             logger.info('demand shifted', group=state.group, step=state.step)
--- a/mountridge/messages/rank.py
+++ b/mountridge/messages/rank.py
@@ -24,7 +24,7 @@
     #: Held now, by set of layers; [] where the leader has been told.
     experts: list[list[int]]
     #: Choices of each expert since they were last told.
-    counts: demand.Choices
+    counts: demand.PackedCounts
     #: Version of the newest map that the sidecar has whole, or NO_VERSION.
     known_map: int
 
--- a/mountridge/remoteranks.py
+++ b/mountridge/remoteranks.py
@@ -77,7 +77,7 @@
             last.instance_id,
             state,
             experts,
-            demand.NO_CHOICES,
+            demand.NO_COUNTS,
             last.known_map,
         )
         order = self.known.on_remote_report(report)
--- a/mountridge/sidecar.py
+++ b/mountridge/sidecar.py
@@ -297,23 +297,25 @@
             self._tell_experts = True
             self._map_version = state.map_version
 
-    async def _fresh_counts(self, state: ranks.RankState) -> demand.Choices:
+    async def _fresh_counts(
+        self, state: ranks.RankState
+    ) -> demand.PackedCounts:
         """Return the choices since they were last told, in due time."""
         now_s = self.app.now_s()
         is_due = now_s - self._counted_s >= COUNTS_PART * self._report_s
         is_asked = self._tell_counts and state.group and state.is_open
         if not is_asked or not is_due:
-            return demand.NO_CHOICES
+            return demand.NO_COUNTS
         counts = await self.engine.counts()
         before = self._counts
         self._counts = counts
         self._counted_s = now_s
         if len(before) != len(counts):
-            return demand.NO_CHOICES
+            return demand.NO_COUNTS
         fresh = [now - then for now, then in zip(counts, before)]
         if min(fresh, default=0) < 0:
             # The engine counts anew: it has started again.
-            return demand.NO_CHOICES
+            return demand.NO_COUNTS
         return demand.pack(fresh)
 
     def dump(self) -> dict:
