--- a/mountridge/experts/mapchanges.py
+++ b/mountridge/experts/mapchanges.py
@@ -23,7 +23,7 @@
 from mountridge.experts import ranks
 
 __all__ = [
-    'Change', 'HOLDER', 'Phase', 'Progress', 'USUAL_PASS_S', 'find_change',
+    'Change', 'HOLDER', 'Phase', 'Progress', 'DEFAULT_PASS_S', 'find_change',
 ]  # fmt: skip
 
 #: A pass is held that begins this much later, as far as the passes of late
@@ -32,7 +32,7 @@
 #: still.
 AHEAD_S = 0.22
 #: What a pass takes while none has been timed: 40 to 90 ms in played days.
-USUAL_PASS_S = 0.07
+DEFAULT_PASS_S = 0.07
 #: After this many passes without a confirmed hold another one is held.
 PAST_PASSES = 1
 #: The rank at which passes are held.
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -150,11 +150,11 @@
     def pass_s(self, now_s: float) -> float:
         """Return how long a pass takes, by the newest ones."""
         if len(self._passes) < 2:
-            return mapchanges.USUAL_PASS_S
+            return mapchanges.DEFAULT_PASS_S
         (first, first_s), (last, last_s) = self._passes[0], self._passes[-1]
         lasted_s = (last_s - first_s) / (last - first)
         # The pass under way may be the first slow one.
-        return max(lasted_s, now_s - last_s, mapchanges.USUAL_PASS_S / 4)
+        return max(lasted_s, now_s - last_s, mapchanges.DEFAULT_PASS_S / 4)
 
     def is_whole(self, now_s: float) -> bool:
         """Return whether all ranks are open and have reported of late."""
