--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -64,11 +64,11 @@
     if fault == 'is cut short':
         packed = packed._replace(data=packed.data[:-4])
     elif fault == 'tells a size of nothing':
-        packed = packed._replace(places=0)
+        packed = packed._replace(slots=0)
     elif fault == 'tells a size beyond all bounds':
         packed = packed._replace(ranks=10**9)
     elif fault == 'holds more than it tells':
-        packed = packed._replace(places=2)
+        packed = packed._replace(slots=2)
     else:
         known = [by_rank[:-1] for by_rank in known]
     try:
--- a/mountridge/experts/mapdeltas.py
+++ b/mountridge/experts/mapdeltas.py
@@ -3,7 +3,7 @@
 """Expert maps as they are sent: packed, and only what a known map lacks.
 
 The leader sends each new map to all ranks of a group. Of a map for 192
-ranks, 10 sets of 384 experts and 3 places the message codec makes 13 KB;
+ranks, 10 sets of 384 experts and 3 slots the message codec makes 13 KB;
 packed against the map before it, of which 840 experts are new, it takes 3 KB,
 so that all ranks have it 0.04 s after it was begun on a link of 100 Mbit/s
 instead of 0.2 s (sizes of the model's plans).
@@ -23,7 +23,7 @@
 EMPTY = 0xFFFF
 #: Fast, and within a tenth of the smallest.
 LEVEL = 1
-#: A map for 5,000 ranks, 64 sets and 3 places is under 2 MB.
+#: A map for 5,000 ranks, 64 sets and 3 slots is under 2 MB.
 MOST_BYTES = 8 << 20
 
 
@@ -33,7 +33,7 @@
     base: int  # NO_VERSION: from nothing
     sets: int
     ranks: int
-    places: int  # of the largest rank
+    slots: int  # of the largest rank
     data: bytes
 
 
@@ -48,12 +48,12 @@
     ``known`` is [] where the receiver has no map; ``base`` then is
     NO_VERSION.
     """
-    places = max(len(held) for by_rank in placed for held in by_rank)
-    data = _flat(placed, places)
+    slots = max(len(held) for by_rank in placed for held in by_rank)
+    data = _flat(placed, slots)
     if known:
-        data = _differ(data, _flat(known, places))
+        data = _differ(data, _flat(known, slots))
     packed = zlib.compress(data, LEVEL)
-    return PackedMap(base, len(placed), len(placed[0]), places, packed)
+    return PackedMap(base, len(placed), len(placed[0]), slots, packed)
 
 
 def unpack(packed: PackedMap, known: ranks.Placement) -> ranks.Placement:
@@ -61,7 +61,7 @@
 
     :raises BadMessage: it is not a map of the size that it tells.
     """
-    size = packed.sets * packed.ranks * packed.places * 2
+    size = packed.sets * packed.ranks * packed.slots * 2
     if not 0 < size <= MOST_BYTES:
         raise errors.BadMessage(f'a map of {size} bytes')
     try:
@@ -74,26 +74,26 @@
     if known:
         if (len(known), len(known[0])) != (packed.sets, packed.ranks):
             raise errors.BadMessage('a map of another group')
-        data = _differ(data, _flat(known, packed.places))
+        data = _differ(data, _flat(known, packed.slots))
     return _nested(data, packed)
 
 
-def _flat(placed: ranks.Placement, places: int) -> bytes:
-    """Return all places in order, two bytes each."""
+def _flat(placed: ranks.Placement, slots: int) -> bytes:
+    """Return all slots in order, two bytes each."""
     flat = array.array('H')
     for by_rank in placed:
         for held in by_rank:
-            flat.extend(held[:places])
-            flat.extend([EMPTY] * (places - len(held)))
+            flat.extend(held[:slots])
+            flat.extend([EMPTY] * (slots - len(held)))
     return _little_endian(flat).tobytes()
 
 
 def _nested(data: bytes, packed: PackedMap) -> ranks.Placement:
     flat = _little_endian(array.array('H', data))
-    places = packed.places
+    slots = packed.slots
     held = [
-        [expert for expert in flat[first : first + places] if expert != EMPTY]
-        for first in range(0, len(flat), places)
+        [expert for expert in flat[first : first + slots] if expert != EMPTY]
+        for first in range(0, len(flat), slots)
     ]
     return [
         held[first : first + packed.ranks]
