--- a/mountridge/experts/demand.py
+++ b/mountridge/experts/demand.py
@@ -1,43 +1,42 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What the experts of a group are asked for now, from counts of choices.
+"""Estimates the current demand for each expert and detects demand shifts.
 
-Demand keeps for some seconds and then shifts at once. So counts are kept as
-a mean over the time since the last shift, and a shift is told by how far
-the newest counts lie from that mean: twice as far as usual.
+Demand stays constant for several seconds and then changes abruptly. Counts
+of expert selections are therefore averaged only over the time since the
+last shift. A shift is detected when the newest counts differ from this mean
+much more than they usually do.
 """
 
 import typing
 
-__all__ = ['PackedCounts', 'Demand', 'NO_COUNTS', 'pack', 'unpack']
+__all__ = ['Demand', 'NO_COUNTS', 'PackedCounts', 'pack', 'unpack']
 
-#: Counts are compared with the mean each time that they span this long. Of
-#: shorter spans single prompts tell too much: over 0.2 s the distance is 0.10
-#: on average between shifts and 0.2 to 0.5 at one, on a group of 12 ranks.
+#: Length of the window of counts that is compared with the mean. In shorter
+#: windows single prompts look like shifts.
 SPAN_S = 0.2
-#: Part of the choices that must have gone to other experts, and how many
-#: times the usual part, for the newest counts to tell a shift. With these
-#: all 9 shifts of a played day were told, and nothing else.
-LEAST_DISTANCE = 0.2
-TIMES_USUAL = 1.7
-#: Weight of the newest distance in the usual one.
+#: A shift is detected when at least this share of the selections went to
+#: other experts than in the mean, and when the share exceeds the usual one
+#: by this factor.
+MIN_SHIFT_DISTANCE = 0.2
+SHIFT_RATIO = 1.7
+#: Weight of the newest distance in the moving average of distances.
 SMOOTHING = 0.1
-#: Part of the mean that is kept at each span: a mean over 2 s.
-KEPT = 0.9
+#: Factor by which the mean decays with each window: a mean over 2 s.
+DECAY = 0.9
 
-#: Most that one byte of packed counts tells.
-MOST = 255
+#: Largest value of one byte of packed counts.
+MAX_LEVEL = 255
 
 
 class PackedCounts(typing.NamedTuple):
-    """Counts of choices, a byte for each expert.
+    """Selection counts, quantized to one byte per expert.
 
-    A rank's report with counts as numbers takes 3 times the bytes, and
-    most of them go to another hall. Less than a 500th of the most chosen
-    expert's count is lost, which no plan depends on.
+    Takes a third of the bytes of plain numbers. The rounding error is less
+    than a 500th of the largest count.
     """
 
-    scale: float  # choices for each step of a byte
+    scale: float  # selections per unit of a level
     levels: bytes
 
 
@@ -45,76 +44,80 @@
 
 
 def pack(counts: list[int]) -> PackedCounts:
-    """Return counts as they are sent."""
-    most = max(counts, default=0)
-    if most <= 0:
+    """Return counts in the form in which they are sent."""
+    largest = max(counts, default=0)
+    if largest <= 0:
         return PackedCounts(0.0, bytes(len(counts)))
-    # In whole numbers: half of the time of dividing and rounding each.
-    half = most // 2
-    parts = bytes([(MOST * count + half) // most for count in counts])
-    return PackedCounts(most / MOST, parts)
+    # Integer arithmetic: faster than dividing and rounding each count.
+    half = largest // 2
+    levels = bytes([(MAX_LEVEL * count + half) // largest for count in counts])
+    return PackedCounts(largest / MAX_LEVEL, levels)
 
 
-def unpack(choices: PackedCounts) -> list[float]:
-    """Return the counts that were sent, as far as they are told."""
-    return [choices.scale * part for part in choices.levels]
+def unpack(packed: PackedCounts) -> list[float]:
+    """Return the counts, subject to the rounding error of packing."""
+    return [packed.scale * level for level in packed.levels]
 
 
 class Demand:
-    """The choices of each expert, set by set, since the last shift."""
+    """Selection counts of each expert, set by set, since the last shift."""
 
     def __init__(self) -> None:
         self.mean: list[float] = []
-        self._newest: list[float] = []
-        self._since_s = 0.0
-        self._usual = LEAST_DISTANCE / TIMES_USUAL
-        #: Whether the span before saw a shift; it may hold some of before.
+        self._window: list[float] = []
+        self._window_start_s = 0.0
+        self._usual_distance = MIN_SHIFT_DISTANCE / SHIFT_RATIO
+        #: Whether the previous window had a shift. That window may contain
+        #: counts from before the shift.
         self.is_shifting = False
 
     @property
     def is_settled(self) -> bool:
-        """Return whether the mean holds only what was asked for since."""
+        """Return whether the mean only has counts since the last shift."""
         return bool(self.mean) and not self.is_shifting
 
     def record(self, choices: PackedCounts, now_s: float) -> bool:
-        """Add the choices since the last report; tell if demand shifted."""
-        counts, scale = choices.levels, choices.scale
-        if len(self._newest) != len(counts):
-            self._newest = [0.0] * len(counts)
+        """Add the counts of one report; return whether demand shifted."""
+        levels, scale = choices.levels, choices.scale
+        if len(self._window) != len(levels):
+            self._window = [0.0] * len(levels)
             self.mean = []
-            self._since_s = now_s
-        # Read and added in one go: 0.25 ms instead of 0.8 ms for 3,840
-        # counts, of which a leader takes 80 a second at 192 ranks.
-        self._newest = [a + scale * b for a, b in zip(self._newest, counts)]
-        if now_s - self._since_s < SPAN_S:
+            self._window_start_s = now_s
+        # Unpacks and adds in one pass over the list: the leader handles
+        # dozens of reports per second with thousands of counts each.
+        self._window = [a + scale * b for a, b in zip(self._window, levels)]
+        if now_s - self._window_start_s < SPAN_S:
             return False
-        self._since_s = now_s
-        if not any(self._newest):
+        self._window_start_s = now_s
+        if not any(self._window):
             return False
-        shifted = self._close_span()
-        self._newest = [0.0] * len(counts)
+        shifted = self._close_window()
+        self._window = [0.0] * len(levels)
         return shifted
 
-    def _close_span(self) -> bool:
-        distance = _distance(self._newest, self.mean)
+    def _close_window(self) -> bool:
+        """Compare the window with the mean; return whether demand shifted."""
+        distance = _distance(self._window, self.mean)
         if self.is_shifting or not self.mean:
             self.is_shifting = False
-            self.mean = self._newest
+            self.mean = self._window
             return False
-        if distance > max(LEAST_DISTANCE, TIMES_USUAL * self._usual):
+        if distance > max(
+            MIN_SHIFT_DISTANCE, SHIFT_RATIO * self._usual_distance
+        ):
             self.is_shifting = True
-            self.mean = self._newest
+            self.mean = self._window
             return True
-        self._usual += SMOOTHING * (distance - self._usual)
-        self.mean = [KEPT * m + n for m, n in zip(self.mean, self._newest)]
+        self._usual_distance += SMOOTHING * (distance - self._usual_distance)
+        self.mean = [DECAY * m + n for m, n in zip(self.mean, self._window)]
         return False
 
 
 def _distance(counts: list[float], mean: list[float]) -> float:
-    """Return the part of the choices that lies elsewhere in the mean."""
+    """Return the total variation distance of two distributions, 0 to 1."""
     if not mean:
         return 0.0
-    counted, meant = sum(counts), sum(mean)
+    counts_sum, mean_sum = sum(counts), sum(mean)
     return 0.5 * sum(
-        abs(a / counted - b / meant) for a, b in zip(counts, mean)
+        abs(a / counts_sum - b / mean_sum) for a, b in zip(counts, mean)
     )
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -499,8 +499,9 @@
     ),
     Mutant(
         'demand: shifts not told', 'demand',
-        'if distance > max(LEAST_DISTANCE, TIMES_USUAL * self._usual):',
-        'if False:', 'demand',
+        '        if distance > max(\n            MIN_SHIFT_DISTANCE, '
+        'SHIFT_RATIO * self._usual_distance\n        ):',
+        '        if False:', 'demand',
     ),
     Mutant(
         'demand: counts of before a shift kept', 'demand',
