--- a/mountridge/experts/ranks.py
+++ b/mountridge/experts/ranks.py
@@ -1,11 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A rank of an expert-parallel group: what is known of it and asked of it.
+"""State of a rank of an expert-parallel group, and orders to its engine.
 
-A group's ranks advance in lock-step, and every pass is to be made with one
-expert map. An engine follows four orders: *prepare* copies the experts of a
-map, *hold* keeps the group from beginning a pass, *arm* makes the rank take
-a prepared map as that pass begins, *go* lets the held pass begin.
+A group's ranks advance in lock-step, and every forward pass must use one
+expert map on all ranks. An engine accepts four orders: *prepare* copies the
+experts of a map, *hold* keeps the group from starting a pass, *arm* makes
+the rank switch to a prepared map when that pass starts, *go* releases the
+held pass.
 """
 
 import typing
@@ -17,46 +18,46 @@
     'RankOrder', 'RankState', 'check_counts', 'check_experts', 'check_state',
 ]  # fmt: skip
 
-#: The largest whole number that every writer of JSON keeps exact.
-MOST_NUMBER = (1 << 53) - 1
-#: Above the ranks of any group, the requests of any engine, and its pace.
-MOST_RANKS = 1 << 16
-MOST_REQUESTS = 1 << 20
-MOST_PACE = 10000.0
-#: Experts are packed into two bytes, of which the largest stands for none.
-MOST_EXPERT = 0xFFFE
+#: Largest integer that JSON implementations represent exactly.
+MAX_NUMBER = (1 << 53) - 1
+#: Upper bounds of plausible values.
+MAX_RANKS = 1 << 16
+MAX_REQUESTS = 1 << 20
+MAX_SLOWDOWN = 10000.0
+#: Experts are packed into two bytes; the largest value marks an empty slot.
+MAX_EXPERT = 0xFFFE
 PREPARE, HOLD, ARM, GO = 'prepare', 'hold', 'arm', 'go'
-#: Stands where a rank has prepared or armed nothing.
+#: No version or pass, e.g. where a rank has prepared or armed nothing.
 NO_VERSION = -1
 
 
-#: A map: by set of layers and rank, the experts.
+#: An expert map: the experts by set of layers and rank.
 Placement = list[list[list[int]]]
 
 
 class RankState(typing.NamedTuple):
-    """What an engine says of itself, fresh, to a process on its own box."""
+    """Current state of an engine, as it reports it to its own box."""
 
     group: str  # '' for an engine in no group
-    epoch: int  # begins anew when the group has formed again
+    epoch: int  # increases when the group forms again
     rank: int
     size: int  # ranks of the group
-    is_open: bool  # the group makes passes
-    step: int  # the newest pass begun
+    is_open: bool  # the group runs forward passes
+    step: int  # the newest pass started
     map_version: int
-    prepared: int  # newest version copied whole, or NO_VERSION
-    armed: int  # version that it takes at `armed_step`, or NO_VERSION
+    prepared: int  # newest version copied completely, or NO_VERSION
+    armed: int  # version to switch to at `armed_step`, or NO_VERSION
     armed_step: int
-    held_step: int  # pass that it keeps from beginning, or NO_VERSION
+    held_step: int  # pass that it keeps from starting, or NO_VERSION
     running: int
     waiting: int
     memory_tokens: int  # in use
     slowdown: float  # current step time / usual step time
-    born_ms: int = 0  # Unix time of the engine's start; 0: not told
+    born_ms: int = 0  # Unix time of the engine's start; 0: not reported
 
 
 class RankOrder(typing.NamedTuple):
-    """One order to a rank; carrying it out twice does no harm."""
+    """An order to a rank; orders are idempotent."""
 
     kind: str
     epoch: int
@@ -70,50 +71,52 @@
 
 
 def check_state(state: RankState) -> RankState:
-    """Return what an engine says of itself, where it can be so.
+    """Return the state if all of its numbers are in range.
 
-    :raises BadAnswer: a number lies where none of its kind does.
+    :raises BadAnswer: a number is out of range.
     """
-    _check_span('rank', [state.rank], 0, MOST_RANKS)
-    _check_span('size', [state.size], 1, MOST_RANKS)
+    _check_range('rank', [state.rank], 0, MAX_RANKS)
+    _check_range('size', [state.size], 1, MAX_RANKS)
     requests = [state.running, state.waiting]
-    _check_span('requests', requests, 0, MOST_REQUESTS)
-    _check_span('pace', [state.slowdown], 0, MOST_PACE)
-    counted = [state.epoch, state.step, state.memory_tokens, state.born_ms]
-    _check_span('number', counted, 0, MOST_NUMBER)
+    _check_range('requests', requests, 0, MAX_REQUESTS)
+    _check_range('pace', [state.slowdown], 0, MAX_SLOWDOWN)
+    numbers = [state.epoch, state.step, state.memory_tokens, state.born_ms]
+    _check_range('number', numbers, 0, MAX_NUMBER)
     versions = [state.map_version, state.prepared, state.armed]
     versions += [state.armed_step, state.held_step]
-    _check_span('version', versions, NO_VERSION, MOST_NUMBER)
+    _check_range('version', versions, NO_VERSION, MAX_NUMBER)
     if state.group and state.rank >= state.size:
-        raise errors.BadAnswer(f'rank {state.rank} of {state.size}')
+        raise errors.BadAnswer(
+            f'rank {state.rank} is out of range for a group of {state.size}'
+        )
     return state
 
 
 def check_counts(counts: list[int]) -> list[int]:
-    """Return counts of choices where none is negative or too large.
+    """Return the selection counts if all are in range.
 
-    :raises BadAnswer: one is.
+    :raises BadAnswer: a count is negative or too large.
     """
-    _check_span('count', counts, 0, MOST_NUMBER)
+    _check_range('count', counts, 0, MAX_NUMBER)
     return counts
 
 
 def check_experts(by_set: list[list[int]]) -> list[list[int]]:
-    """Return the experts held, by set, where all can be numbers of one.
+    """Return the experts that a rank holds, by set, if all are in range.
 
-    :raises BadAnswer: one can't.
+    :raises BadAnswer: an expert's number is out of range.
     """
-    for held in by_set:
-        _check_span('expert', held, 0, MOST_EXPERT)
+    for experts in by_set:
+        _check_range('expert', experts, 0, MAX_EXPERT)
     return by_set
 
 
-def _check_span(
-    name: str, values: typing.Sequence[float], least: float, most: float
+def _check_range(
+    name: str, values: typing.Sequence[float], low: float, high: float
 ) -> None:
-    """Refuse numbers out of a span.
+    """Raise BadAnswer if a value is out of range.
 
-    The least and the largest tell for all of thousands of counts.
+    Compares only the smallest and the largest: there may be thousands.
     """
-    if values and not (least <= min(values) and max(values) <= most):
-        raise errors.BadAnswer(f'{name} not in {least} to {most}')
+    if values and not (low <= min(values) and max(values) <= high):
+        raise errors.BadAnswer(f'{name} is not in the range {low} to {high}')
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -977,7 +977,7 @@
     ),
     Mutant(
         'lives: any number of an engine', 'ranks',
-        'if values and not (least <= min(values) and max(values) <= most):',
+        'if values and not (low <= min(values) and max(values) <= high):',
         'if False:', 'lives',
     ),
     Mutant(
