--- a/mountridge/experts/maps.py
+++ b/mountridge/experts/maps.py
@@ -3,10 +3,11 @@
 """Expert maps: which rank holds which expert, and when to move some.
 
 All ranks of a group advance together, so a step takes as long as the most
-loaded rank. A move is taken where the waiting that it saves within
-`HORIZON_S`, by the row's weight of skew, is worth more than the bytes that
-it moves, by the row's weight of moving. The gain must show in a fast and a
-slow mean of the load alike: so a load that flaps moves nothing.
+loaded rank. A move is made when the waiting time that it saves within
+`HORIZON_S`, weighted by the row's `skew`, exceeds the cost of the bytes that
+it copies, weighted by the row's `move`. Both the fast and the slow moving
+average of the load must show the gain, so that a short load spike moves
+nothing.
 """
 
 import typing
@@ -18,11 +19,12 @@
     'plan', 'rank_loads', 'skew', 'smooth',
 ]  # fmt: skip
 
-#: Time within which a move must pay, in seconds.
+#: Time within which a move must pay off, in seconds.
 HORIZON_S = 120.0
-#: A new plan must promise this many times its cost.
+#: Ratio of gain to cost that a move must exceed.
 MARGIN = 1.5
 MAX_MOVES = 64
+#: Weights of a new sample in the fast and the slow moving average.
 FAST, SLOW = 0.5, 0.1
 
 ExpertMap, Loads = mapsearch.ExpertMap, mapsearch.Loads
@@ -30,7 +32,7 @@
 
 
 class Weights(typing.NamedTuple):
-    """The two columns of the row, and the size of an expert."""
+    """Weights of a row for skew and moves, and the size of an expert."""
 
     skew: float
     move: float
@@ -38,7 +40,7 @@
 
 
 class Plan(typing.NamedTuple):
-    """A new map, what it costs and gains, and why."""
+    """A new map, its cost and gain, and the reason for it."""
 
     new: ExpertMap
     moved: int  # experts copied to a rank
@@ -48,7 +50,7 @@
 
 
 def first_map(ranks: int, slots: int, experts: int) -> ExpertMap:
-    """Return the map that spreads experts evenly, spare slots too."""
+    """Return a map that assigns experts to all slots round-robin."""
     return tuple(
         tuple((rank * slots + slot) % experts for slot in range(slots))
         for rank in range(ranks)
@@ -56,32 +58,32 @@
 
 
 def smooth(loads: Loads | None, sample: list[float]) -> Loads:
-    """Return the means with one more report in them."""
+    """Return the moving averages updated with one sample."""
     if loads is None:
         return Loads(list(sample), list(sample))
 
-    def mix(old: list[float], part: float) -> list[float]:
-        return [o + part * (s - o) for o, s in zip(old, sample)]
+    def update(old: list[float], weight: float) -> list[float]:
+        return [o + weight * (s - o) for o, s in zip(old, sample)]
 
-    return Loads(mix(loads.fast, FAST), mix(loads.slow, SLOW))
+    return Loads(update(loads.fast, FAST), update(loads.slow, SLOW))
 
 
-def skew(placed: ExpertMap, load: list[float]) -> float:
-    """Return how far the slowest rank is above the mean, as a part of it."""
-    each = rank_loads(placed, load)
+def skew(placement: ExpertMap, load: list[float]) -> float:
+    """Return by how much the most loaded rank exceeds the mean, as a ratio."""
+    each = rank_loads(placement, load)
     mean = sum(each) / len(each)
     return max(each) / mean - 1 if mean > 0 else 0.0
 
 
 def moved_experts(old: ExpertMap, new: ExpertMap) -> int:
-    """Return how many experts some rank must fetch."""
+    """Return how many experts must be copied, over all ranks."""
     return sum(
         len(set(after) - set(before)) for before, after in zip(old, new)
     )
 
 
 def plan(current: ExpertMap, loads: Loads, weights: Weights) -> Plan | None:
-    """Return the moves that pay, or None where none do."""
+    """Return a plan of the moves that pay off, or None if there are none."""
     cost = weights.move * weights.expert_gib * MARGIN
     search = mapsearch.Search(current, loads)
     moves = 0
@@ -95,14 +97,14 @@
         return None
     new = tuple(tuple(slots) for slots in search.placed)
     before, after = skew(current, loads.fast), skew(new, loads.fast)
-    fetched = moved_experts(current, new)
+    copied = moved_experts(current, new)
     saved_s = (before - after) * HORIZON_S
     return Plan(
         new,
-        fetched,
+        copied,
         before,
         after,
-        f'skew {before:.2f} -> {after:.2f}, {saved_s:.0f} s less waiting in '
-        f'{HORIZON_S:.0f} s at weight {weights.skew:g}, for '
-        f'{fetched * weights.expert_gib:.2f} GiB at weight {weights.move:g}',
+        f'skew {before:.2f} -> {after:.2f} saves {saved_s:.0f} s of waiting '
+        f'in {HORIZON_S:.0f} s at weight {weights.skew:g}, for copying '
+        f'{copied * weights.expert_gib:.2f} GiB at weight {weights.move:g}',
     )
