--- a/mountridge/experts/mapchanges.py
+++ b/mountridge/experts/mapchanges.py
@@ -1,19 +1,19 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Changes of a group's expert map, one at a time, in steps that are safe.
+"""Protocol that changes a group's expert map, one change at a time.
 
-Orders may be lost, and may be carried out seconds late. So:
+Orders may be lost or carried out seconds late. Therefore:
 
-- a version is used once, ever: it is the index of an entry of the log;
-- a rank holds a pass before any rank is armed for it, and the pass is let
-  begin only once all ranks have *reported* that they are armed;
-- an order that a report does not confirm is given again; nothing is taken
-  back once a pass is held, since a late order could still be carried out;
-- what is under way stands in the ranks' reports alone, so a new leader
-  that finds a held pass finishes the change that it finds.
+- a version is never reused: it is the index of a log entry;
+- a rank holds a pass before any rank is armed for it, and the pass is
+  released only after all ranks have *reported* that they are armed;
+- an order is repeated until a report confirms it; nothing is rolled back
+  once a pass is held, since a delayed order could still be carried out;
+- the state of a change is kept in the ranks' reports alone, so a new leader
+  that finds a held pass completes that change.
 
-What one report costs does not grow with the ranks: each set of ranks that a
-step waits for is kept up to date rank by rank.
+The cost of handling one report does not grow with the number of ranks: the
+set of ranks that each phase waits for is updated incrementally.
 """
 
 import enum
@@ -23,47 +23,48 @@
 from mountridge.experts import ranks
 
 __all__ = [
-    'Change', 'HOLDER', 'Phase', 'Progress', 'DEFAULT_PASS_S', 'find_change',
+    'Change', 'DEFAULT_PASS_S', 'HOLD_RANK', 'Phase', 'Progress',
+    'find_change',
 ]  # fmt: skip
 
-#: A pass is held that begins this much later, as far as the passes of late
-#: tell. From the hold to the last rank's report that it is armed takes three
-#: messages and their ways: 0.12 s. A group that gets there sooner stands
-#: still.
-AHEAD_S = 0.22
-#: What a pass takes while none has been timed: 40 to 90 ms in played days.
+#: How far ahead the pass to be held is chosen, by recent pass times. Longer
+#: than the messages from the hold order to the last rank's report that it is
+#: armed usually take; if they take longer the group stalls until then.
+HOLD_AHEAD_S = 0.22
+#: Assumed duration of a pass until one has been timed.
 DEFAULT_PASS_S = 0.07
-#: After this many passes without a confirmed hold another one is held.
-PAST_PASSES = 1
-#: The rank at which passes are held.
-HOLDER = 0
+#: A later pass is chosen if no hold is confirmed and the chosen pass is less
+#: than this many passes ahead of the newest one.
+MIN_PASSES_AHEAD = 1
+#: The rank that holds the pass.
+HOLD_RANK = 0
 
 
 class Change(typing.NamedTuple):
-    """A change under way. ``step`` is NO_VERSION until a pass is chosen."""
+    """A change in progress; ``step`` is NO_VERSION until a pass is chosen."""
 
     group: str
     epoch: int
     version: int
-    placement: ranks.Placement  # [] where another leader began it
+    placement: ranks.Placement  # [] if another leader started the change
     step: int = ranks.NO_VERSION
 
 
 class Phase(enum.Enum):
-    """What a change waits for."""
+    """What a change is waiting for."""
 
-    PREPARING = enum.auto()  # until all ranks have copied their experts
-    HOLDING = enum.auto()  # until a pass is held
-    ARMING = enum.auto()  # until all ranks take the map at that pass
-    STARTING = enum.auto()  # until the pass has begun everywhere
+    PREPARING = enum.auto()  # all ranks to copy their experts
+    HOLDING = enum.auto()  # a pass to be held
+    ARMING = enum.auto()  # all ranks to be armed for that pass
+    STARTING = enum.auto()  # the pass to start on all ranks
     DONE = enum.auto()
 
 
 def find_change(states: list[ranks.RankState]) -> Change | None:
-    """Return the change that some leader left with a pass held.
+    """Return the change that an earlier leader left with a pass held.
 
-    It was prepared everywhere before the hold, so the prepared version is
-    the one that is meant.
+    A pass is held only after all ranks have prepared the map, so the
+    prepared version is the version of the change.
     """
     held = [s for s in states if s.held_step != ranks.NO_VERSION]
     if not held:
@@ -76,7 +77,7 @@
 
 
 class Progress:
-    """How far each rank of a group is in one change."""
+    """Progress of each rank of a group in one change."""
 
     def __init__(
         self, change: Change, states: typing.Iterable[ranks.RankState]
@@ -85,30 +86,32 @@
         self._states: dict[int, ranks.RankState] = {}
         self._unprepared: set[int] = set()
         self._unarmed: set[int] = set()
-        #: Ranks that do not use the map yet, or hold a pass.
+        #: Ranks that do not use the new map yet, or hold a pass.
         self._unfinished: set[int] = set()
         self._holding: set[int] = set()
         for state in states:
             self.record(state)
 
     def record(self, state: ranks.RankState) -> None:
-        """Take what a rank reports."""
+        """Record a rank's reported state."""
         change, rank = self.change, state.rank
         self._states[rank] = state
-        uses = state.map_version == change.version
+        uses_map = state.map_version == change.version
         holds = state.held_step != ranks.NO_VERSION
-        armed = (
+        is_armed = (
             state.armed == change.version and state.armed_step == change.step
         )
-        chosen = change.step != ranks.NO_VERSION
-        _mark(self._unprepared, rank, state.prepared != change.version)
-        _mark(self._unarmed, rank, not uses and not armed)
-        _mark(self._unfinished, rank, not uses or holds)
-        _mark(self._holding, rank, chosen and state.held_step == change.step)
+        is_chosen = change.step != ranks.NO_VERSION
+        _set_member(self._unprepared, rank, state.prepared != change.version)
+        _set_member(self._unarmed, rank, not uses_map and not is_armed)
+        _set_member(self._unfinished, rank, not uses_map or holds)
+        _set_member(
+            self._holding, rank, is_chosen and state.held_step == change.step
+        )
 
     @property
     def phase(self) -> Phase:
-        """Return what the change waits for now."""
+        """Return the current phase."""
         if not self._unfinished:
             return Phase.DONE
         if self.change.step == ranks.NO_VERSION and self._unprepared:
@@ -118,36 +121,36 @@
         return Phase.ARMING if self._unarmed else Phase.STARTING
 
     def choose_step(self, newest: int, pass_s: float) -> None:
-        """Choose the pass to hold, or a later one where it has begun.
+        """Choose the pass to hold, or a later one if the chosen has started.
 
-        ``newest`` is the newest pass begun, ``pass_s`` how long one takes.
+        ``newest`` is the newest pass started, ``pass_s`` the duration of one.
         """
         if self.phase != Phase.HOLDING:
             return
-        if newest + PAST_PASSES <= self.change.step:
+        if newest + MIN_PASSES_AHEAD <= self.change.step:
             return
-        step = newest + math.ceil(AHEAD_S / pass_s)
+        step = newest + math.ceil(HOLD_AHEAD_S / pass_s)
         self.change = self.change._replace(step=step)
         for state in list(self._states.values()):
             self.record(state)
 
     def waiting_for(self) -> list[int]:
-        """Return the ranks that are to follow an order now."""
+        """Return the ranks that must carry out an order now."""
         phase = self.phase
         if phase == Phase.PREPARING:
             return sorted(self._unprepared)
         if phase == Phase.HOLDING:
-            return [HOLDER]
+            return [HOLD_RANK]
         if phase == Phase.ARMING:
             return sorted(self._unarmed)
         return sorted(self._holding) if phase == Phase.STARTING else []
 
     def order_for(self, rank: int) -> ranks.RankOrder | None:
-        """Return the order that a rank is to follow now."""
+        """Return the order that a rank must carry out now, if any."""
         phase = self.phase
         if phase == Phase.PREPARING and rank in self._unprepared:
             return self._order(ranks.PREPARE)
-        if phase == Phase.HOLDING and rank == HOLDER:
+        if phase == Phase.HOLDING and rank == HOLD_RANK:
             return self._order(ranks.HOLD)
         if phase == Phase.ARMING and rank in self._unarmed:
             return self._order(ranks.ARM)
@@ -157,13 +160,13 @@
 
     def _order(self, kind: str) -> ranks.RankOrder:
         change = self.change
-        placed = change.placement if kind == ranks.PREPARE else []
+        placement = change.placement if kind == ranks.PREPARE else []
         return ranks.RankOrder(
-            kind, change.epoch, change.version, change.step, placed
+            kind, change.epoch, change.version, change.step, placement
         )
 
 
-def _mark(members: set[int], rank: int, is_member: bool) -> None:
+def _set_member(members: set[int], rank: int, is_member: bool) -> None:
     if is_member:
         members.add(rank)
     else:
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -375,7 +375,7 @@
     Mutant(
         'entry: hold before all have prepared', 'mapchanges',
         'if self.change.step == ranks.NO_VERSION and self._unprepared:',
-        'if self.change.step == ranks.NO_VERSION and HOLDER in '
+        'if self.change.step == ranks.NO_VERSION and HOLD_RANK in '
         'self._unprepared:', 'entry', 'One map',
     ),
     Mutant(
