--- a/mountridge/experts/mapplans.py
+++ b/mountridge/experts/mapplans.py
@@ -126,7 +126,7 @@
         _relieve(by_rank, asked, slow, sheet, taken)
         for by_rank, asked in zip(placed, load)
     ]
-    return mapsearch.spread(
+    return mapsearch.balance(
         relieved,
         load,
         sheet.slots,
--- a/mountridge/experts/maps.py
+++ b/mountridge/experts/maps.py
@@ -88,14 +88,14 @@
     search = mapsearch.Search(current, loads)
     moves = 0
     while moves < MAX_MOVES:
-        best = search.best()
+        best = search.best_move()
         if best is None or best[0] * weights.skew * HORIZON_S <= cost:
             break
-        search.take(best[1])
+        search.apply(best[1])
         moves += 1
     if not moves:
         return None
-    new = tuple(tuple(slots) for slots in search.placed)
+    new = tuple(tuple(slots) for slots in search.placement)
     before, after = skew(current, loads.fast), skew(new, loads.fast)
     copied = moved_experts(current, new)
     saved_s = (before - after) * HORIZON_S
--- a/mountridge/experts/mapsearch.py
+++ b/mountridge/experts/mapsearch.py
@@ -1,12 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The search for a better expert map: one copy or swap after the other.
+"""Greedy search for a better expert map, one copy or swap at a time.
 
-Each step looks at the most loaded rank and at a few of the least loaded, and
-takes the change that lowers the norm of the ranks' loads most. What a step
-costs hardly grows with the ranks: at 192 ranks, 10 sets of 384 experts and 3
-places a whole search takes 0.1 to 0.2 s where looking at all ranks for each
-candidate took 0.35 s for a fifth of the steps (one core, invented demand).
+Each step considers moves between the most loaded rank and a few of the least
+loaded ones, and makes the move that lowers the norm of the rank loads most.
+The cost of a step is nearly independent of the number of ranks.
 """
 
 import collections
@@ -15,38 +13,38 @@
 import typing
 
 __all__ = [
-    'Allowance', 'Change', 'ExpertMap', 'Loads', 'Search', 'rank_loads',
-    'spread',
+    'CopyBudget', 'ExpertMap', 'Loads', 'Move', 'Search', 'balance',
+    'rank_loads',
 ]  # fmt: skip
 
-#: For each rank the experts in its slots. An expert that stands in several
-#: ranks shares its load among them evenly.
+#: The experts in the slots of each rank. The copies of an expert on several
+#: ranks share its load evenly.
 ExpertMap = tuple[tuple[int, ...], ...]
 
-#: Norm by which the most loaded ranks are judged together.
-POWER = 16
-#: Coldest ranks that are looked at for each step of the search.
-COLDEST = 4
-#: Steps of one search, and for each rank: enough for each rank to take a new
-#: expert, which is what is left to gain where there are many ranks.
-LEAST_STEPS = 64
-#: Gain of the norm below which a change is noise: a tenth of the least that
-#: a plan for 192 ranks takes.
-LEAST_GAIN = 1e-4
+#: Order of the norm; a high one is dominated by the most loaded ranks.
+NORM_ORDER = 16
+#: How many of the least loaded ranks each step considers as targets.
+COLD_RANKS = 4
+#: Lower bound of the steps per set of layers. The bound grows with the ranks
+#: so that each of them can receive a new expert.
+MIN_STEPS = 64
+#: Gains of the norm up to this are treated as noise; well below
+#: `mapplans.LEAST_MOVE_GAIN` per rank for hundreds of ranks.
+MIN_GAIN = 1e-4
 
 
 class Loads(typing.NamedTuple):
-    """A fast and a slow mean of the load of each expert."""
+    """A fast and a slow moving average of the load of each expert."""
 
     fast: list[float]
     slow: list[float]
 
 
-class Change(typing.NamedTuple):
-    """One step of the search: an expert of the hot rank goes to a cold one.
+class Move(typing.NamedTuple):
+    """One step of the search: copy an expert of the hot rank to a cold one.
 
-    It takes a slot there; the expert that stood in it either has another
-    copy, or comes back into the hot rank's slot.
+    The expert takes over a slot there. The expert that was in the slot either
+    has another copy, or moves to the slot on the hot rank (a swap).
     """
 
     hot: int
@@ -56,276 +54,292 @@
     is_swap: bool
 
 
-class Allowance:
-    """How many experts may be new to a rank, over all sets of layers."""
+class CopyBudget:
+    """Limit of the experts new to a rank, over all sets of layers."""
 
-    def __init__(self, ranks: int, most: int):
-        self.most = most
-        self.taken = [0] * ranks
+    def __init__(self, ranks: int, limit: int):
+        self.limit = limit
+        self.used = [0] * ranks
 
 
-def rank_loads(placed: ExpertMap, load: list[float]) -> list[float]:
+def rank_loads(placement: ExpertMap, load: list[float]) -> list[float]:
     """Return the load of each rank."""
-    copies = collections.Counter(e for slots in placed for e in slots)
-    return [sum(load[e] / copies[e] for e in slots) for slots in placed]
+    copies = collections.Counter(e for slots in placement for e in slots)
+    return [sum(load[e] / copies[e] for e in slots) for slots in placement]
 
 
-class _Times:
-    """The time of each rank under one load, and their norm.
+class _RankTimes:
+    """The time of each rank for one load, and the norm of these times.
 
-    A rank that is to hold nothing has an infinite pace: what it holds all
-    the same can't be helped, and counts as nothing here.
+    A rank with an infinite slowdown is to hold no experts; those that it
+    still holds can't be moved and are left out of the norm.
     """
 
     def __init__(
-        self, placed: ExpertMap, load: list[float], paces: list[float]
+        self, placement: ExpertMap, load: list[float], slowdowns: list[float]
     ):
         self.load = load
-        self._paces = [pace if pace < math.inf else 0.0 for pace in paces]
-        each = rank_loads(placed, load)
-        self.each = [a * pace for a, pace in zip(each, self._paces)]
+        self._slowdowns = [
+            ratio if ratio < math.inf else 0.0 for ratio in slowdowns
+        ]
+        each = rank_loads(placement, load)
+        self.each = [a * ratio for a, ratio in zip(each, self._slowdowns)]
         self._mean = sum(self.each) / len(self.each) or 1.0
-        self._terms = [(time / self._mean) ** POWER for time in self.each]
+        self._terms = [(time / self._mean) ** NORM_ORDER for time in self.each]
         self._sum = sum(self._terms)
 
     def norm_gain(self, deltas: typing.Iterable[tuple[int, float]]) -> float:
-        """Return by how much the norm falls where ranks get other loads."""
+        """Return by how much the norm falls if rank loads change."""
         after = self._sum
         each, terms, mean = self.each, self._terms, self._mean
         for rank, delta in deltas:
-            time = each[rank] + delta * self._paces[rank]
-            after += (time / mean) ** POWER - terms[rank]
-        return self._sum ** (1 / POWER) - max(after, 0.0) ** (1 / POWER)
+            time = each[rank] + delta * self._slowdowns[rank]
+            after += (time / mean) ** NORM_ORDER - terms[rank]
+        return self._sum ** (1 / NORM_ORDER) - max(after, 0.0) ** (
+            1 / NORM_ORDER
+        )
 
     def add(self, deltas: typing.Iterable[tuple[int, float]]) -> None:
-        """Give ranks other loads."""
+        """Change the loads of ranks."""
         for rank, delta in deltas:
-            time = self.each[rank] + delta * self._paces[rank]
+            time = self.each[rank] + delta * self._slowdowns[rank]
             self.each[rank] = time
-            self._terms[rank] = (time / self._mean) ** POWER
-        # Added up anew: a difference of large terms would leave an error.
+            self._terms[rank] = (time / self._mean) ** NORM_ORDER
+        # Recomputed: updating it with differences of large terms would
+        # accumulate rounding errors.
         self._sum = sum(self._terms)
 
 
 class Search:
-    """A map under search, with the load of each rank kept up to date."""
+    """A search for a better map; rank loads are updated incrementally.
+
+    :param placement: the map to start from
+    :param max_new: most experts that may be new to a rank; None: no limit
+    :param empty: the expert number that marks an empty slot
+    :param slowdowns: ratio of current to usual step time of each rank
+    :param in_use: the map in use, if it differs from ``placement``
+    :param budget: limit of new experts shared by the searches of all sets
+    """
 
     def __init__(
         self,
-        placed: ExpertMap,
+        placement: ExpertMap,
         loads: Loads,
-        spare: int | None = None,
+        max_new: int | None = None,
         empty: int | None = None,
-        paces: list[float] | None = None,
-        first: ExpertMap | None = None,
-        allowance: Allowance | None = None,
+        slowdowns: list[float] | None = None,
+        in_use: ExpertMap | None = None,
+        budget: CopyBudget | None = None,
     ):
-        #: How many times its usual time each rank takes for its load.
-        paces = paces or [1.0] * len(placed)
-        self._able = [r for r, pace in enumerate(paces) if pace < math.inf]
-        self.placed = [list(slots) for slots in placed]
-        #: How many experts may be new to a rank; None for any number.
-        self._spare = math.inf if spare is None else spare
-        self._first = [set(slots) for slots in first or placed]
-        #: What the searches of all sets of layers may add to each rank.
-        self._allowance = allowance
-        #: The expert that stands for an empty place.
+        slowdowns = slowdowns or [1.0] * len(placement)
+        #: Ranks that may hold experts.
+        self._candidates = [
+            r for r, ratio in enumerate(slowdowns) if ratio < math.inf
+        ]
+        self.placement = [list(slots) for slots in placement]
+        self._max_new = math.inf if max_new is None else max_new
+        self._in_use = [set(slots) for slots in in_use or placement]
+        self._budget = budget
         self._empty = empty
         self._copies = collections.Counter(
-            e for slots in placed for e in slots
+            e for slots in placement for e in slots
         )
         self._holders: dict[int, set[int]] = collections.defaultdict(set)
-        for rank, slots in enumerate(placed):
+        for rank, slots in enumerate(placement):
             for expert in slots:
                 self._holders[expert].add(rank)
-        #: Experts that are new to each rank.
-        self.fresh = [
+        #: How many experts are new to each rank.
+        self.new_counts = [
             sum(self._is_new(rank, expert) for expert in set(slots))
-            for rank, slots in enumerate(placed)
+            for rank, slots in enumerate(placement)
         ]
-        #: A change must gain under each of these.
-        self._times = [_Times(placed, loads.fast, paces)]
+        #: A move must lower the norm for each of these loads.
+        self._times = [_RankTimes(placement, loads.fast, slowdowns)]
         if loads.slow is not loads.fast:
-            self._times.append(_Times(placed, loads.slow, paces))
+            self._times.append(_RankTimes(placement, loads.slow, slowdowns))
 
     def _is_new(self, rank: int, expert: int) -> bool:
-        return expert != self._empty and expert not in self._first[rank]
+        return expert != self._empty and expert not in self._in_use[rank]
 
     def _deltas(
-        self, change: Change, load: list[float]
+        self, move: Move, load: list[float]
     ) -> list[tuple[int, float]]:
-        """Return by how much the load of each touched rank changes."""
-        going = self.placed[change.hot][change.hot_slot]
-        coming = self.placed[change.cold][change.cold_slot]
-        count, others = self._copies[going], self._copies[coming]
-        if change.is_swap:
-            step = load[going] / count - load[coming] / others
-            return [(change.hot, -step), (change.cold, step)]
-        less = load[going] * (1 / (count + 1) - 1 / count)
-        deltas = {rank: less for rank in self._holders[going]}
-        deltas[change.cold] = load[going] / (count + 1)
-        if coming != self._empty:
-            more = load[coming] * (1 / (others - 1) - 1 / others)
-            for rank in self._holders[coming]:
+        """Return by how much the load of each affected rank changes."""
+        copied = self.placement[move.hot][move.hot_slot]
+        replaced = self.placement[move.cold][move.cold_slot]
+        count, others = self._copies[copied], self._copies[replaced]
+        if move.is_swap:
+            step = load[copied] / count - load[replaced] / others
+            return [(move.hot, -step), (move.cold, step)]
+        less = load[copied] * (1 / (count + 1) - 1 / count)
+        deltas = {rank: less for rank in self._holders[copied]}
+        deltas[move.cold] = load[copied] / (count + 1)
+        if replaced != self._empty:
+            more = load[replaced] * (1 / (others - 1) - 1 / others)
+            for rank in self._holders[replaced]:
                 deltas[rank] = deltas.get(rank, 0.0) + more
-            deltas[change.cold] -= load[coming] / (others - 1)
+            deltas[move.cold] -= load[replaced] / (others - 1)
         return list(deltas.items())
 
-    def _gain(self, change: Change, times: _Times) -> float:
-        """Return by how much a change lowers the norm, for each copy."""
-        gain = times.norm_gain(self._deltas(change, times.load))
-        return gain / 2 if change.is_swap else gain
+    def _gain(self, move: Move, times: _RankTimes) -> float:
+        """Return by how much a move lowers the norm, per expert copied."""
+        gain = times.norm_gain(self._deltas(move, times.load))
+        return gain / 2 if move.is_swap else gain
 
-    def _changes(self) -> typing.Iterator[Change]:
-        """Yield the changes between the hottest rank and cold ones."""
+    def _moves(self) -> typing.Iterator[Move]:
+        """Yield the moves between the hottest rank and cold ones."""
         each = self._times[0].each
-        hot = max(self._able, key=each.__getitem__)
+        hot = max(self._candidates, key=each.__getitem__)
         for cold in self._coldest(each):
-            for i, mine in enumerate(self.placed[hot]):
-                if cold in self._holders[mine]:
+            for i, expert in enumerate(self.placement[hot]):
+                if cold in self._holders[expert]:
                     continue
-                yield from self._changes_of(hot, i, cold)
+                yield from self._moves_of(hot, i, cold)
 
     def _coldest(self, each: list[float]) -> list[int]:
-        """Return the least loaded ranks that may take a new expert."""
-        able = self._able
-        if self._allowance is not None:
-            taken, most = self._allowance.taken, self._allowance.most
-            able = [rank for rank in able if taken[rank] < most]
-        return heapq.nsmallest(COLDEST, able, key=each.__getitem__)
-
-    def _changes_of(
+        """Return the least loaded ranks that may receive a new expert."""
+        candidates = self._candidates
+        if self._budget is not None:
+            used, limit = self._budget.used, self._budget.limit
+            candidates = [rank for rank in candidates if used[rank] < limit]
+        return heapq.nsmallest(COLD_RANKS, candidates, key=each.__getitem__)
+
+    def _moves_of(
         self, hot: int, slot: int, cold: int
-    ) -> typing.Iterator[Change]:
-        """Yield the changes of one expert of the hot rank with a cold one."""
-        mine = self.placed[hot][slot]
+    ) -> typing.Iterator[Move]:
+        """Yield the moves of one expert of the hot rank to a cold one."""
+        expert = self.placement[hot][slot]
         was_empty = False
-        for j, theirs in enumerate(self.placed[cold]):
-            if theirs == self._empty and was_empty:
-                # One empty place is as good as another.
+        for j, replaced in enumerate(self.placement[cold]):
+            if replaced == self._empty and was_empty:
+                # Empty slots are interchangeable; one is enough.
                 continue
-            was_empty = was_empty or theirs == self._empty
-            if not self._may_take(cold, mine, theirs):
+            was_empty = was_empty or replaced == self._empty
+            if not self._may_replace(cold, expert, replaced):
                 continue
-            if self._copies[theirs] > 1 or theirs == self._empty:
-                yield Change(hot, slot, cold, j, False)
-            if hot not in self._holders[theirs]:
-                if self._may_take(hot, theirs, mine):
-                    yield Change(hot, slot, cold, j, True)
-
-    def _may_take(self, rank: int, coming: int, going: int) -> bool:
-        """Return whether a rank may hold one expert in place of another."""
-        added = self._is_new(rank, coming) - self._is_new(rank, going)
+            if self._copies[replaced] > 1 or replaced == self._empty:
+                yield Move(hot, slot, cold, j, False)
+            if hot not in self._holders[replaced]:
+                if self._may_replace(hot, replaced, expert):
+                    yield Move(hot, slot, cold, j, True)
+
+    def _may_replace(self, rank: int, expert: int, replaced: int) -> bool:
+        """Return whether the limits let ``expert`` replace another."""
+        added = self._is_new(rank, expert) - self._is_new(rank, replaced)
         if added <= 0:
             return True
-        if self.fresh[rank] + added > self._spare:
+        if self.new_counts[rank] + added > self._max_new:
             return False
-        allowance = self._allowance
-        if allowance is None:
+        budget = self._budget
+        if budget is None:
             return True
-        return allowance.taken[rank] + added <= allowance.most
+        return budget.used[rank] + added <= budget.limit
 
-    def is_allowed(self, change: Change) -> bool:
-        """Return whether a change found earlier still fits."""
-        going = self.placed[change.hot][change.hot_slot]
-        coming = self.placed[change.cold][change.cold_slot]
-        if not self._may_take(change.cold, going, coming):
+    def is_allowed(self, move: Move) -> bool:
+        """Return whether a move found earlier is still within the limits."""
+        copied = self.placement[move.hot][move.hot_slot]
+        replaced = self.placement[move.cold][move.cold_slot]
+        if not self._may_replace(move.cold, copied, replaced):
             return False
-        return not change.is_swap or self._may_take(change.hot, coming, going)
+        return not move.is_swap or self._may_replace(
+            move.hot, replaced, copied
+        )
 
-    def best(self) -> tuple[float, Change] | None:
-        """Return the change that gains most for each expert moved."""
+    def best_move(self) -> tuple[float, Move] | None:
+        """Return the move with the highest gain per expert, and the gain."""
         found = None
         first, *others = self._times
-        for change in self._changes():
-            gain = self._gain(change, first)
-            if gain > LEAST_GAIN and (found is None or gain > found[0]):
-                gain = min([gain, *(self._gain(change, t) for t in others)])
+        for move in self._moves():
+            gain = self._gain(move, first)
+            if gain > MIN_GAIN and (found is None or gain > found[0]):
+                gain = min([gain, *(self._gain(move, t) for t in others)])
                 if found is None or gain > found[0]:
-                    found = (gain, change)
-        return found if found and found[0] > LEAST_GAIN else None
+                    found = (gain, move)
+        return found if found and found[0] > MIN_GAIN else None
 
-    def take(self, change: Change) -> None:
-        """Make a change."""
+    def apply(self, move: Move) -> None:
+        """Make a move."""
         for times in self._times:
-            times.add(self._deltas(change, times.load))
-        going = self.placed[change.hot][change.hot_slot]
-        coming = self.placed[change.cold][change.cold_slot]
-        self._put(change.cold, change.cold_slot, going)
-        if change.is_swap:
-            self._put(change.hot, change.hot_slot, coming)
+            times.add(self._deltas(move, times.load))
+        copied = self.placement[move.hot][move.hot_slot]
+        replaced = self.placement[move.cold][move.cold_slot]
+        self._replace(move.cold, move.cold_slot, copied)
+        if move.is_swap:
+            self._replace(move.hot, move.hot_slot, replaced)
         else:
-            self._copies[going] += 1
-            self._copies[coming] -= 1
+            self._copies[copied] += 1
+            self._copies[replaced] -= 1
 
-    def _put(self, rank: int, slot: int, expert: int) -> None:
-        """Let a rank hold an expert in place of the one in a slot."""
-        before = self.placed[rank][slot]
-        self.placed[rank][slot] = expert
+    def _replace(self, rank: int, slot: int, expert: int) -> None:
+        """Replace the expert in a slot."""
+        before = self.placement[rank][slot]
+        self.placement[rank][slot] = expert
         self._holders[before].discard(rank)
         self._holders[expert].add(rank)
         added = self._is_new(rank, expert) - self._is_new(rank, before)
-        self.fresh[rank] += added
-        if self._allowance is not None:
-            self._allowance.taken[rank] += added
+        self.new_counts[rank] += added
+        if self._budget is not None:
+            self._budget.used[rank] += added
 
 
-def spread(
-    placed: list[ExpertMap],
+def balance(
+    placement: list[ExpertMap],
     load: list[list[float]],
-    places: int,
-    spare: int,
-    most_new: int,
-    least_gain: float,
-    paces: list[float],
-    first: list[ExpertMap],
+    slots: int,
+    max_new: int,
+    max_new_total: int,
+    min_gain: float,
+    slowdowns: list[float],
+    in_use: list[ExpertMap],
 ) -> list[ExpertMap]:
     """Return maps, by set of layers, whose ranks share ``load`` more evenly.
 
-    A rank holds at most ``places`` experts of a set. At most ``spare`` of
-    them are new to it, and at most ``most_new`` over all sets. The copies
-    that lower the norm of the ranks' loads most come first, whatever their
-    set; each must lower it by ``least_gain``. An empty place stands in the
-    search as an expert that nobody chooses. A rank of infinite pace gets
-    nothing and gives nothing. What is new to a rank is told by ``first``,
-    the maps in use, where ``placed`` differs from them.
+    A rank holds at most ``slots`` experts of a set. At most ``max_new`` of
+    them are new to it, and at most ``max_new_total`` over all sets. Copies
+    are made in the order of their gain, whatever their set; each must lower
+    the norm of the rank loads by ``min_gain``. During the search an empty
+    slot holds an extra expert without load. A rank with an infinite slowdown
+    neither receives nor passes on experts. Experts are new to a rank if they
+    are not in ``in_use``, the current maps, from which ``placement`` may
+    differ.
     """
     empty = len(load[0])
-    allowance = Allowance(len(paces), most_new)
+    budget = CopyBudget(len(slowdowns), max_new_total)
     searches = []
-    for held, asked, known in zip(placed, load, first):
+    for by_rank, set_load, known in zip(placement, load, in_use):
         full = tuple(
-            tuple(slots) + (empty,) * (places - len(slots)) for slots in held
+            tuple(experts) + (empty,) * (slots - len(experts))
+            for experts in by_rank
         )
-        asked = asked + [0.0]
-        loads = Loads(asked, asked)
-        search = Search(full, loads, spare, empty, paces, known, allowance)
-        for rank in range(len(paces)):
-            allowance.taken[rank] += search.fresh[rank]
+        set_load = set_load + [0.0]
+        loads = Loads(set_load, set_load)
+        search = Search(full, loads, max_new, empty, slowdowns, known, budget)
+        for rank in range(len(slowdowns)):
+            budget.used[rank] += search.new_counts[rank]
         searches.append(search)
-    steps = max(LEAST_STEPS, len(paces)) * len(searches)
-    _take_best(searches, least_gain, steps)
+    steps = max(MIN_STEPS, len(slowdowns)) * len(searches)
+    _apply_best(searches, min_gain, steps)
     return [
         tuple(
-            tuple(expert for expert in held if expert != empty)
-            for held in search.placed
+            tuple(expert for expert in experts if expert != empty)
+            for experts in search.placement
         )
         for search in searches
     ]
 
 
-def _take_best(searches: list[Search], least_gain: float, steps: int) -> None:
-    """Make the best change of any search, until none is good enough."""
-    best = [search.best() for search in searches]
+def _apply_best(searches: list[Search], min_gain: float, steps: int) -> None:
+    """Make the best move of any search until none reaches ``min_gain``."""
+    best = [search.best_move() for search in searches]
     for _ in range(steps):
         gain, number = max(
             (found[0] if found else 0.0, number)
             for number, found in enumerate(best)
         )
-        if gain < least_gain:
+        if gain < min_gain:
             return
         search = searches[number]
-        change = best[number][1]
-        if search.is_allowed(change):
-            search.take(change)
-        best[number] = search.best()
+        move = best[number][1]
+        if search.is_allowed(move):
+            search.apply(move)
+        best[number] = search.best_move()
