--- a/mountridge/experts/mapplans.py
+++ b/mountridge/experts/mapplans.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A new expert map for a group, from counts and the paces of its ranks.
+"""Plans a new expert map for a group from selection counts and slowdowns.
 
-A pass waits in each set of layers for the most loaded rank, so the sum of
-those ranks' loads over the sets is what a plan makes smaller. A rank that
-is slow counts by as much more; one that is much slower gives its experts
-away.
+In each set of layers a forward pass waits for the most loaded rank, so a
+plan lowers the sum of the highest rank loads over all sets. The load of a
+slow rank is weighted by its slowdown; a rank that is much slower than usual
+is relieved of its experts.
 """
 
 import collections
@@ -16,191 +16,207 @@
 
 __all__ = ['EngineParameters', 'MapPlan', 'plan']
 
-#: Part by which the passes' slowest ranks must get faster, set by set, for
-#: a change to pay for its copies and its orders.
-LEAST_GAIN = 0.1
-#: Gain per expert copied below which it stays where it is, times the ranks.
-#: One copy lowers the norm of `mapsearch` by less the more ranks share it,
-#: and its price is shared by as many requests. In a model with 192 ranks, 10
-#: sets of 384 experts and 3 places, a gain of 0.02 a copy whatever the ranks
-#: left the most loaded rank at 1.8 times the mean after 130 copies; with
-#: this it has 1.26 after 840, which take 0.01 s a rank
-#: (model of plans on invented demand).
-LEAST_MOVE_GAIN = 0.24
-#: A rank at this many times its usual time is relieved of all experts that
-#: others have places for. Below, weighing its load by its pace is enough.
-RELIEVE_PACE = 2.0
-
-#: How long the copies of one change may take at a rank. Demand may shift
-#: each 3 s; until a change is in use the passes wait for the most loaded
-#: rank. One copy is always allowed.
-COPIES_S = 0.45
+#: Share by which the sum of the slowest ranks' times must fall for a change
+#: to be worth its copies and orders.
+MIN_GAIN = 0.1
+#: Least gain per copied expert, multiplied by the number of ranks. The norm
+#: of `mapsearch` changes less with each copy the more ranks there are, so a
+#: fixed limit would end the search too early in large groups.
+MIN_COPY_GAIN = 0.24
+#: A rank with at least this slowdown is relieved of all experts for which
+#: other ranks have slots. Below it, weighting its load is enough.
+RELIEVE_SLOWDOWN = 2.0
+
+#: Limit of the time to copy the experts of one change to a rank: shorter than
+#: the usual time between demand shifts, as passes stay slow until the change
+#: is complete. One copy is always allowed.
+MAX_COPY_S = 0.45
 
 Placement = ranks.Placement
 
 
 class EngineParameters(typing.NamedTuple):
-    """What an engine allows of expert maps."""
+    """Limits that an engine sets for expert maps."""
 
     slots: int  # most experts per rank and set (setting `places`)
     max_new: int  # new experts per rank and set in a change (`spare`)
-    experts: int  # of one set
-    copy_s: float = 0.0  # to copy one expert; 0 where it is not known
+    experts: int  # per set
+    copy_s: float = 0.0  # time to copy one expert; 0: unknown
 
-    def most_new(self, sets: int) -> int:
-        """Return how many experts may be new to a rank in one change."""
-        most = self.max_new * sets
+    def max_new_total(self, sets: int) -> int:
+        """Return how many experts may be new to a rank over all sets."""
+        limit = self.max_new * sets
         if self.copy_s <= 0:
-            return most
-        return max(1, min(most, int(COPIES_S / self.copy_s)))
+            return limit
+        return max(1, min(limit, int(MAX_COPY_S / self.copy_s)))
 
 
 class MapPlan(typing.NamedTuple):
-    """A map that pays, and why."""
+    """A map that is worth a change, and the reason."""
 
     placement: Placement
     reason: str
 
 
 def plan(
-    placed: Placement,
+    placement: Placement,
     counts: list[float],
-    paces: list[float],
-    sheet: EngineParameters,
+    slowdowns: list[float],
+    parameters: EngineParameters,
 ) -> MapPlan | None:
-    """Return a better map, None where none pays.
+    """Return a better map, or None if none is worth a change.
 
-    ``counts`` has the choices of each expert, set by set; ``paces`` how
-    many times its usual time each rank takes.
+    ``counts`` has the selection counts of all experts, set by set;
+    ``slowdowns`` the ratio of current to usual step time of each rank.
     """
     load = [
-        counts[first : first + sheet.experts]
-        for first in range(0, len(placed) * sheet.experts, sheet.experts)
+        counts[first : first + parameters.experts]
+        for first in range(
+            0, len(placement) * parameters.experts, parameters.experts
+        )
     ]
-    new = _spread(placed, load, paces, sheet)
-    before = sum(_slowest(p, asked, paces) for p, asked in zip(placed, load))
-    after = sum(_slowest(p, asked, paces) for p, asked in zip(new, load))
-    moved = sum(maps.moved_experts(old, now) for old, now in zip(placed, new))
-    if before <= 0 or (before - after) / before < LEAST_GAIN:
+    new = _balance(placement, load, slowdowns, parameters)
+    before = sum(
+        _max_time(by_rank, set_load, slowdowns)
+        for by_rank, set_load in zip(placement, load)
+    )
+    after = sum(
+        _max_time(by_rank, set_load, slowdowns)
+        for by_rank, set_load in zip(new, load)
+    )
+    copied = sum(
+        maps.moved_experts(old, now) for old, now in zip(placement, new)
+    )
+    if before <= 0 or (before - after) / before < MIN_GAIN:
         return None
-    mean = sum(counts) / max(1, len(paces))
+    mean = sum(counts) / max(1, len(slowdowns))
     return MapPlan(
-        [[list(held) for held in by_rank] for by_rank in new],
+        [[list(experts) for experts in by_rank] for by_rank in new],
         f'slowest ranks at {before / mean:.2f} times the mean, then '
-        f'{after / mean:.2f}, for {moved} experts copied'
-        f'{_told_slow(paces)}',
+        f'{after / mean:.2f}, for {copied} experts copied'
+        f'{_describe_slow_ranks(slowdowns)}',
     )
 
 
-def _told_slow(paces: list[float]) -> str:
+def _describe_slow_ranks(slowdowns: list[float]) -> str:
     slow = [
-        f'{rank} at {pace:.1f}'
-        for rank, pace in enumerate(paces)
-        if pace >= RELIEVE_PACE
+        f'{rank} at {ratio:.1f}'
+        for rank, ratio in enumerate(slowdowns)
+        if ratio >= RELIEVE_SLOWDOWN
     ]
     return f'; slow ranks: {", ".join(slow)}' if slow else ''
 
 
-def _slowest(
-    placed: list[list[int]], load: list[float], paces: list[float]
+def _max_time(
+    placement: list[list[int]], load: list[float], slowdowns: list[float]
 ) -> float:
-    each = maps.rank_loads(placed, load)
-    return max(amount * pace for amount, pace in zip(each, paces))
+    each = maps.rank_loads(placement, load)
+    return max(amount * ratio for amount, ratio in zip(each, slowdowns))
 
 
-def _spread(
-    placed: Placement,
+def _balance(
+    placement: Placement,
     load: list[list[float]],
-    paces: list[float],
-    sheet: EngineParameters,
+    slowdowns: list[float],
+    parameters: EngineParameters,
 ) -> list[maps.ExpertMap]:
-    """Return the maps of all sets of layers, balanced anew."""
-    slow = {r for r, pace in enumerate(paces) if pace >= RELIEVE_PACE}
-    if len(slow) == len(paces):
+    """Return rebalanced maps for all sets of layers."""
+    slow = {
+        r for r, ratio in enumerate(slowdowns) if ratio >= RELIEVE_SLOWDOWN
+    }
+    if len(slow) == len(slowdowns):
         slow = set()
-    weighed = [
-        math.inf if rank in slow else pace for rank, pace in enumerate(paces)
+    weights = [
+        math.inf if rank in slow else ratio
+        for rank, ratio in enumerate(slowdowns)
     ]
-    taken: collections.Counter[int] = collections.Counter()
+    total_copies: collections.Counter[int] = collections.Counter()
     relieved = [
-        _relieve(by_rank, asked, slow, sheet, taken)
-        for by_rank, asked in zip(placed, load)
+        _relieve(by_rank, set_load, slow, parameters, total_copies)
+        for by_rank, set_load in zip(placement, load)
     ]
     return mapsearch.balance(
         relieved,
         load,
-        sheet.slots,
-        sheet.max_new,
-        sheet.most_new(len(placed)),
-        LEAST_MOVE_GAIN / len(paces),
-        weighed,
-        placed,
+        parameters.slots,
+        parameters.max_new,
+        parameters.max_new_total(len(placement)),
+        MIN_COPY_GAIN / len(slowdowns),
+        weights,
+        placement,
     )
 
 
 def _relieve(
-    placed: list[list[int]],
+    placement: list[list[int]],
     load: list[float],
     slow: set[int],
-    sheet: EngineParameters,
-    taken_by_all: collections.Counter[int],
+    parameters: EngineParameters,
+    total_copies: collections.Counter[int],
 ) -> list[list[int]]:
-    """Return a map in which the slow ranks hold as little as can be.
+    """Return a map in which the slow ranks hold as few experts as possible.
 
-    What others hold too is dropped; the rest goes to ranks that may take one
-    more new expert and have a place, or can drop an expert that others hold
-    too. Those that have the fewest to copy, over all sets of layers, come
-    first, since a change waits for the rank that copies longest.
-    ``taken_by_all`` counts these copies and is added to.
+    Experts that other ranks hold too are dropped. The others are copied to
+    ranks that may receive a new expert and have a free slot, or can drop an
+    expert that others hold too. Ranks with the fewest copies over all sets
+    of layers come first, since a change waits for the rank that copies
+    longest. ``total_copies`` counts the copies by rank and is updated.
     """
-    new = [list(held) for held in placed]
-    copies = collections.Counter(e for held in placed for e in held)
-    taken: collections.Counter[int] = collections.Counter()
+    new = [list(experts) for experts in placement]
+    copies = collections.Counter(e for experts in placement for e in experts)
+    received: collections.Counter[int] = collections.Counter()
     for rank in sorted(slow):
-        for expert in sorted(placed[rank], key=lambda e: -load[e]):
+        for expert in sorted(placement[rank], key=lambda e: -load[e]):
             if copies[expert] == 1:
-                able = [
+                candidates = [
                     other
                     for other in range(len(new))
-                    if other not in slow and taken[other] < sheet.max_new
+                    if other not in slow
+                    and received[other] < parameters.max_new
                 ]
-                fewest = min((taken_by_all[r] for r in able), default=0)
-                first = [r for r in able if taken_by_all[r] == fewest]
-                target = _who_takes(new, load, first, sheet, copies)
+                fewest = min((total_copies[r] for r in candidates), default=0)
+                first = [r for r in candidates if total_copies[r] == fewest]
+                target = _find_target(new, load, first, parameters, copies)
                 if target is None:
-                    target = _who_takes(new, load, able, sheet, copies)
+                    target = _find_target(
+                        new, load, candidates, parameters, copies
+                    )
                 if target is None:
                     continue
                 new[target].append(expert)
-                taken[target] += 1
-                taken_by_all[target] += 1
+                received[target] += 1
+                total_copies[target] += 1
                 copies[expert] += 1
             new[rank].remove(expert)
             copies[expert] -= 1
     return new
 
 
-def _who_takes(
+def _find_target(
     new: list[list[int]],
     load: list[float],
-    able: list[int],
-    sheet: EngineParameters,
+    candidates: list[int],
+    parameters: EngineParameters,
     copies: collections.Counter[int],
 ) -> int | None:
-    """Return a rank of ``able`` with a free place, made where none is."""
+    """Return a candidate with a free slot, or None.
+
+    If no candidate has one, drops the least loaded expert that other ranks
+    hold too.
+    """
     each = maps.rank_loads(new, load)
-    free = [rank for rank in able if len(new[rank]) < sheet.slots]
+    free = [rank for rank in candidates if len(new[rank]) < parameters.slots]
     if free:
         return min(free, key=lambda rank: (each[rank], rank))
-    doubled = [
+    replicated = [
         (load[expert] / copies[expert], rank, expert)
-        for rank in able
+        for rank in candidates
         for expert in new[rank]
         if copies[expert] > 1
     ]
-    if not doubled:
+    if not replicated:
         return None
-    _, rank, expert = min(doubled)
+    _, rank, expert = min(replicated)
     new[rank].remove(expert)
     copies[expert] -= 1
     return rank
--- a/mountridge/experts/mapsearch.py
+++ b/mountridge/experts/mapsearch.py
@@ -29,7 +29,7 @@
 #: so that each of them can receive a new expert.
 MIN_STEPS = 64
 #: Gains of the norm up to this are treated as noise; well below
-#: `mapplans.LEAST_MOVE_GAIN` per rank for hundreds of ranks.
+#: `mapplans.MIN_COPY_GAIN` per rank for hundreds of ranks.
 MIN_GAIN = 1e-4
 
 
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -475,7 +475,7 @@
     ),
     Mutant(
         'maps: least gain of a copy whatever the ranks', 'mapplans',
-        'LEAST_MOVE_GAIN / len(paces),', 'LEAST_MOVE_GAIN / 12,', 'mapplans',
+        'MIN_COPY_GAIN / len(slowdowns),', 'MIN_COPY_GAIN / 12,', 'mapplans',
         'evened out',
     ),
     Mutant(
@@ -486,12 +486,12 @@
     ),
     Mutant(
         'maps: slow ranks keep their experts', 'mapplans',
-        '_relieve(by_rank, asked, slow, sheet, taken)', 'by_rank',
-        'mapplans',
+        '_relieve(by_rank, set_load, slow, parameters, total_copies)',
+        'by_rank', 'mapplans',
     ),
     Mutant(
         'maps: a slow rank relieved by some, not by all alike', 'mapplans',
-        'if taken_by_all[r] == fewest]', ']', 'mapplans',
+        'if total_copies[r] == fewest]', ']', 'mapplans',
     ),
     Mutant(
         'maps: copies bounded by set alone', 'mapplans',
@@ -536,7 +536,7 @@
     ),
     Mutant(
         'maps: experts of a plan told anew', 'mapplans',
-        '        weighed,\n        placed,\n', '        weighed,\n',
+        '        weights,\n        placement,\n', '        weights,\n',
         'mapplans',
     ),
     Mutant(
