--- a/features/steps/mapplans_steps.py
+++ b/features/steps/mapplans_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on plans of expert maps where ranks are slow."""
+"""Steps for plans of expert maps with slow ranks."""
 
 import random
 
@@ -9,96 +9,102 @@
 from mountridge.experts import mapplans, maps
 
 RANKS, EXPERTS, SETS = 16, 64, 4
-#: Choices of the most chosen expert.
-CHOICES = 10000
-SHEET = mapplans.EngineParameters(slots=5, max_new=2, experts=EXPERTS)
+#: Selections of the most selected expert.
+MAX_SELECTIONS = 10000
+PARAMETERS = mapplans.EngineParameters(slots=5, max_new=2, experts=EXPERTS)
 
 
-@given('a group of 16 ranks with 64 experts in 4 sets, 5 places and 2 spare')
+@given(
+    'a group of 16 ranks with 64 experts in 4 sets, 5 slots and 2 new '
+    'per change'
+)
 def make_plan_group(context):
-    _make_group(context, RANKS, SETS, SHEET)
+    _make_group(context, RANKS, SETS, PARAMETERS)
 
 
 @given(
-    'a group of 12 ranks with 96 experts in 3 sets, '
-    'whose copies take {copy_s:g} s'
+    'a group of 12 ranks with 96 experts in 3 sets '
+    'and {copy_s:g} s per copy'
 )
 def make_slow_copies(context, copy_s):
-    sheet = mapplans.EngineParameters(
+    parameters = mapplans.EngineParameters(
         slots=11, max_new=4, experts=96, copy_s=copy_s
     )
-    _make_group(context, 12, 3, sheet)
+    _make_group(context, 12, 3, parameters)
 
 
 @given(
     'a group of {ranks:d} ranks with {experts:d} experts in {sets:d} sets '
-    'and {places:d} places'
+    'and {slots:d} slots'
 )
-def make_sized_group(context, ranks, experts, sets, places):
-    sheet = mapplans.EngineParameters(
-        places, max_new=2, experts=experts, copy_s=0.0026
+def make_sized_group(context, ranks, experts, sets, slots):
+    parameters = mapplans.EngineParameters(
+        slots, max_new=2, experts=experts, copy_s=0.0026
     )
-    _make_group(context, ranks, sets, sheet)
+    _make_group(context, ranks, sets, parameters)
 
 
-@given(
-    "the experts' shares fall by their place in the order to the power "
-    '{power:g}'
-)
-def falling_shares(context, power):
+@given("the experts' shares follow a power law with exponent {exponent:g}")
+def power_law_shares(context, exponent):
     rng = random.Random(5)
-    experts = context.sheet.experts
-    shares = [CHOICES / (1 + place) ** power for place in range(experts)]
+    experts = context.parameters.experts
+    shares = [
+        MAX_SELECTIONS / (1 + position) ** exponent
+        for position in range(experts)
+    ]
     context.counts = []
-    for _ in context.placed:
+    for _ in context.placement:
         context.counts += rng.sample(shares, experts)
 
 
-def _make_group(context, ranks, sets, sheet):
+def _make_group(context, ranks, sets, parameters):
     rng = random.Random(3)
-    context.sheet = sheet
-    context.placed = [
-        [list(range(r, sheet.experts, ranks)) for r in range(ranks)]
+    context.parameters = parameters
+    context.placement = [
+        [list(range(r, parameters.experts, ranks)) for r in range(ranks)]
         for _ in range(sets)
     ]
     context.counts = [
-        rng.uniform(50, 150) for _ in range(sets * sheet.experts)
+        rng.uniform(50, 150) for _ in range(sets * parameters.experts)
     ]
-    context.paces = [1.0] * ranks
+    context.slowdowns = [1.0] * ranks
 
 
-@given('one expert of each set gets {part:d} of 100 choices')
-def one_hot_expert(context, part):
-    experts = context.sheet.experts
+@given('one expert of each set receives {percent:d} % of the selections')
+def one_hot_expert(context, percent):
+    experts = context.parameters.experts
     for first in range(0, len(context.counts), experts):
         others = sum(context.counts[first : first + experts])
         others -= context.counts[first + 5]
-        context.counts[first + 5] = others * part / (100 - part)
+        context.counts[first + 5] = others * percent / (100 - percent)
 
 
 @given('rank {rank:d} takes {times:g} times its usual time')
 def slow_rank(context, rank, times):
-    context.paces[rank] = times
+    context.slowdowns[rank] = times
 
 
 @given('ranks 3, 7 and 11 take {times:g} times their usual time')
 def three_slow_ranks(context, times):
     for rank in (3, 7, 11):
-        context.paces[rank] = times
+        context.slowdowns[rank] = times
 
 
 @given('all ranks take {times:g} times their usual time')
 def slow_ranks(context, times):
-    context.paces = [times] * RANKS
+    context.slowdowns = [times] * RANKS
 
 
 def _plan(context):
-    context.before = context.placed
-    planned = mapplans.plan(
-        context.placed, context.counts, context.paces, context.sheet
+    context.before = context.placement
+    plan = mapplans.plan(
+        context.placement,
+        context.counts,
+        context.slowdowns,
+        context.parameters,
     )
-    if planned is not None:
-        context.placed = planned.placement
+    if plan is not None:
+        context.placement = plan.placement
 
 
 @when('a map is planned')
@@ -106,88 +112,90 @@
     _plan(context)
 
 
-@when('a map is planned and in use, and rank {rank:d} is as usual again')
+@when('a map is planned and adopted, and rank {rank:d} recovers')
 def plan_and_recover(context, rank):
     _plan(context)
-    context.paces[rank] = 1.0
+    context.slowdowns[rank] = 1.0
 
 
-@given('some experts are chosen far more than others')
+@given('some experts are selected far more often than others')
 def uneven_demand(context):
     rng = random.Random(7)
     context.counts = [20 * rng.paretovariate(1.2) for _ in context.counts]
 
 
-@when('a map is planned twice more after a shift of demand')
+@when('a map is planned twice more after a demand shift')
 def plan_twice(context):
     uneven_demand(context)
     _plan(context)
     _plan(context)
 
 
-@then('it is a whole map within the places and the spare ones')
-def check_whole(context):
-    for before, after in zip(context.before, context.placed):
+@then('it is a complete map within the limits of slots and new experts')
+def check_complete(context):
+    for before, after in zip(context.before, context.placement):
         assert {e for held in after for e in held} == set(range(EXPERTS))
         for old, new in zip(before, after):
-            assert len(new) == len(set(new)) <= SHEET.slots, new
-            assert len(set(new) - set(old)) <= SHEET.max_new, (old, new)
+            assert len(new) == len(set(new)) <= PARAMETERS.slots, new
+            assert len(set(new) - set(old)) <= PARAMETERS.max_new, (old, new)
 
 
 @then('at most {most:d} experts are new to a rank over all sets')
 def check_new_over_sets(context, most):
-    for rank in range(len(context.paces)):
+    for rank in range(len(context.slowdowns)):
         new = sum(
             len(set(after[rank]) - set(before[rank]))
-            for before, after in zip(context.before, context.placed)
+            for before, after in zip(context.before, context.placement)
         )
         assert new <= most, (rank, new)
 
 
 @then('rank {rank:d} holds at most {most:d} experts in each set')
-def check_most(context, rank, most):
-    held = [len(by_rank[rank]) for by_rank in context.placed]
+def check_most_held(context, rank, most):
+    held = [len(by_rank[rank]) for by_rank in context.placement]
     assert max(held) <= most, held
 
 
 @then('rank {rank:d} holds at least {least:d} experts in each set')
 def check_least_held(context, rank, least):
-    held = [len(by_rank[rank]) for by_rank in context.placed]
+    held = [len(by_rank[rank]) for by_rank in context.placement]
     assert min(held) >= least, held
 
 
-@then('the most loaded rank has at most {most:g} times the mean')
-def check_skew(context, most):
-    ranks = len(context.paces)
-    skew = _time(context, context.placed) * ranks / sum(context.counts)
-    assert skew <= most, skew
+@then('the most loaded rank has at most {limit:g} times the mean load')
+def check_skew(context, limit):
+    ranks = len(context.slowdowns)
+    skew = (
+        _total_time(context, context.placement) * ranks / sum(context.counts)
+    )
+    assert skew <= limit, skew
 
 
-@then('at most {most:d} experts are new to all ranks together')
-def check_copies(context, most):
+@then('at most {limit:d} experts are copied over all ranks')
+def check_copies(context, limit):
     copies = sum(
         maps.moved_experts(before, after)
-        for before, after in zip(context.before, context.placed)
+        for before, after in zip(context.before, context.placement)
     )
-    assert copies <= most, copies
+    assert copies <= limit, copies
 
 
-def _time(context, placed):
+def _total_time(context, placement):
     total = 0.0
-    for number, by_rank in enumerate(placed):
-        experts = context.sheet.experts
+    for number, by_rank in enumerate(placement):
+        experts = context.parameters.experts
         load = context.counts[number * experts : (number + 1) * experts]
         each = maps.rank_loads(by_rank, load)
-        total += max(a * p for a, p in zip(each, context.paces))
+        total += max(a * s for a, s in zip(each, context.slowdowns))
     return total
 
 
-@then("the slowest rank's time is at most {part:g} of what it was")
-def check_time(context, part):
-    before, after = _time(context, context.before), _time(
-        context, context.placed
+@then("the slowest rank's time is at most {share:g} of the time before")
+def check_time(context, share):
+    before, after = _total_time(context, context.before), _total_time(
+        context, context.placement
     )
-    assert after <= part * before, after / before
+    assert after <= share * before, after / before
 
 
 @given('the first runner takes {times:g} times its usual time')
@@ -196,7 +204,7 @@
         known.by_id['i-0'].pace = times
 
 
-@then('the first runner got none')
-def check_none(context):
+@then('the first runner received no requests')
+def check_no_requests(context):
     assert not context.site.arrivals['i-0'], context.site.arrivals['i-0']
     assert context.site.arrivals['i-1']
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -476,7 +476,7 @@
     Mutant(
         'maps: least gain of a copy whatever the ranks', 'mapplans',
         'MIN_COPY_GAIN / len(slowdowns),', 'MIN_COPY_GAIN / 12,', 'mapplans',
-        'evened out',
+        'is balanced',
     ),
     Mutant(
         'placing: slow runners like others', 'backends',
