--- a/features/steps/demand_steps.py
+++ b/features/steps/demand_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on how shifts of demand are told from counts of choices."""
+"""Steps for the detection of demand shifts from selection counts."""
 
 import random
 import types
@@ -12,41 +12,41 @@
 from mountridge import messages
 
 EXPERTS, RANKS, REPORT_S = 96, 12, 0.12
-#: Choices in the report of a rank that reads a prompt, and of one that
-#: only writes. A tenth of the reports have a prompt.
-READING, WRITING = 20000, 2000
-#: Part of a prompt's choices that is its own, whatever is asked for most.
-OWN_PART = 0.2
+#: Selections in the report of a rank that processes a prompt, and of one that
+#: only decodes. A tenth of the reports include a prompt.
+PREFILL, DECODE = 20000, 2000
+#: Share of the selections that are specific to one prompt.
+PROMPT_SHARE = 0.2
 
 
-def _likes(rng):
-    likes = [1 / (1 + n) ** 1.3 for n in range(EXPERTS)]
-    rng.shuffle(likes)
-    return [like / sum(likes) for like in likes]
+def _random_shares(rng):
+    weights = [1 / (1 + n) ** 1.3 for n in range(EXPERTS)]
+    rng.shuffle(weights)
+    return [weight / sum(weights) for weight in weights]
 
 
-@given('the choices of 96 experts, reported each 0.12 s by 12 ranks')
+@given('selection counts of 96 experts, reported every 0.12 s by 12 ranks')
 def make_demand(context):
     context.rng = random.Random(5)
     context.demand = demand.Demand()
-    context.likes = _likes(context.rng)
+    context.shares = _random_shares(context.rng)
     context.now_s = 0.0
-    context.told_s = []
+    context.detected_s = []
 
 
 def _report(context):
     rng = context.rng
-    amount = READING if rng.random() < 0.1 else WRITING
-    own = _likes(rng)
+    amount = PREFILL if rng.random() < 0.1 else DECODE
+    prompt_shares = _random_shares(rng)
     counts = [
-        round(amount * ((1 - OWN_PART) * like + OWN_PART * its))
-        for like, its in zip(context.likes, own)
+        round(amount * ((1 - PROMPT_SHARE) * share + PROMPT_SHARE * own))
+        for share, own in zip(context.shares, prompt_shares)
     ]
     if context.demand.record(demand.pack(counts), context.now_s):
-        context.told_s.append(context.now_s)
+        context.detected_s.append(context.now_s)
 
 
-def _keep(context, span_s, idle=False):
+def _run(context, span_s, idle=False):
     until_s = context.now_s + span_s
     while context.now_s < until_s:
         if idle:
@@ -56,70 +56,70 @@
         context.now_s += REPORT_S / RANKS
 
 
-@when('demand keeps for 4 s and then shifts for good')
-def keep_and_shift(context):
-    _keep(context, 4)
+@when('demand is constant for 4 s and then shifts')
+def run_and_shift(context):
+    _run(context, 4)
     context.shifted_s = context.now_s
-    context.likes = _likes(context.rng)
-    _keep(context, 1.0)
+    context.shares = _random_shares(context.rng)
+    _run(context, 1.0)
 
 
-@when('demand keeps for 4 s')
-def keep_some(context):
-    _keep(context, 4)
+@when('demand is constant for 4 s')
+def run_constant(context):
+    _run(context, 4)
 
 
-@when('demand keeps for 30 s')
-def keep_long(context):
-    _keep(context, 30)
+@when('demand is constant for 30 s')
+def run_long(context):
+    _run(context, 30)
 
 
-@when('demand keeps for 4 s, rests for 3 s, and keeps for 4 s')
-def keep_and_rest(context):
-    _keep(context, 4)
-    _keep(context, 3, idle=True)
-    _keep(context, 4)
+@when('demand is constant for 4 s, idle for 3 s, and constant for 4 s')
+def run_with_idle_period(context):
+    _run(context, 4)
+    _run(context, 3, idle=True)
+    _run(context, 4)
 
 
-@then('one shift was told, at most {most_s:g} s after it')
-def check_one_shift(context, most_s):
-    assert len(context.told_s) == 1, context.told_s
-    late_s = context.told_s[0] - context.shifted_s
-    assert 0 <= late_s <= most_s, late_s
+@then('one shift is detected, at most {limit_s:g} s after it')
+def check_one_shift(context, limit_s):
+    assert len(context.detected_s) == 1, context.detected_s
+    delay_s = context.detected_s[0] - context.shifted_s
+    assert 0 <= delay_s <= limit_s, delay_s
 
 
-@then('once settled the mean is within {most:g} of what is asked for now')
-def check_mean(context, most):
+@then('the settled mean is within {limit:g} of the current demand')
+def check_mean(context, limit):
     assert context.demand.is_settled
     total = sum(context.demand.mean)
-    away = 0.5 * sum(
-        abs(mean / total - like)
-        for mean, like in zip(context.demand.mean, context.likes)
+    distance = 0.5 * sum(
+        abs(mean / total - share)
+        for mean, share in zip(context.demand.mean, context.shares)
     )
-    assert away <= most, away
+    assert distance <= limit, distance
 
 
-@then('no shift was told')
+@then('no shift is detected')
 def check_no_shift(context):
-    assert not context.told_s, context.told_s
+    assert not context.detected_s, context.detected_s
 
 
-@when('counts are packed and read again')
+@when('counts are packed and unpacked')
 def pack_counts(context):
-    context.counts = [round(1e6 * like) for like in context.likes]
+    context.counts = [round(1e6 * share) for share in context.shares]
     context.packed = demand.pack(context.counts)
     assert demand.unpack(demand.pack([0, 0])) == [0.0, 0.0]
 
 
 @then(
-    'they took {size:d} bytes, and each count is within a {part:d}th '
+    'they take {size:d} bytes, and each count is within a {fraction:d}th '
     'of the largest'
 )
-def check_packed(context, size, part):
+def check_packed(context, size, fraction):
     assert len(context.packed.levels) == size
     largest = max(context.counts)
-    for sent, read in zip(context.counts, demand.unpack(context.packed)):
-        assert abs(sent - read) <= largest / part, (sent, read)
+    for sent, received in zip(context.counts, demand.unpack(context.packed)):
+        assert abs(sent - received) <= largest / fraction, (sent, received)
 
 
 def _rank_report(context, epoch, choices=demand.NO_COUNTS):
@@ -130,31 +130,31 @@
     return messages.RankReport('i-0', state, [[1]], choices, ranks.NO_VERSION)
 
 
-@given('a group of 12 ranks that copies the experts of a change')
+@given('a group of 12 ranks that is copying the experts of a change')
 def make_group(context):
     context.group = rankgroups.Group()
     context.group.take(_rank_report(context, 1), 0.0)
     change = mapchanges.Change('g', 1, 9, [[[1], [2]]])
     context.group.progress = mapchanges.Progress(change, [])
-    # The group's own counts stand in for those of the steps above.
-    context.demand = types.SimpleNamespace(record=_taker(context))
+    # The steps above report to the group, which has its own counts.
+    context.demand = types.SimpleNamespace(record=_recorder(context))
 
 
-def _taker(context):
-    def take(choices, now_s):
+def _recorder(context):
+    def record(choices, now_s):
         before = context.group.outdated
         context.group.take(_rank_report(context, 1, choices), now_s)
         return context.group.outdated and not before
 
-    return take
+    return record
 
 
-@then('a newer plan may take the place of the change')
-def check_gives_way(context):
-    assert context.told_s and context.group.is_open_to_plans
+@then('a newer plan may replace the change')
+def check_replaceable(context):
+    assert context.detected_s and context.group.is_open_to_plans
 
 
-@then('none may once a pass is held for it')
+@then('no plan may replace it once a pass is held for it')
 def check_held(context):
     group = context.group
     held = group.change._replace(step=12)
@@ -162,12 +162,12 @@
     assert not group.is_open_to_plans
 
 
-@when('the group forms anew')
-def form_anew(context):
+@when('the group forms again')
+def form_again(context):
     context.group.take(_rank_report(context, 2), context.now_s)
 
 
-@then('no change is under way, and what is asked for is known')
+@then('no change is in progress, and demand is known')
 def check_known(context):
     assert context.group.change is None
     assert context.group.demand.is_settled
