--- a/bench/shifts.py
+++ b/bench/shifts.py
@@ -40,17 +40,17 @@
 
     ranks: int
     sets: int
-    sheet: mapplans.Sheet
+    sheet: mapplans.EngineParameters
     shift_s: float
     share: float  # of the experts that change places in a shift
 
 
 DEPLOYMENTS = {
     'slow copies': Deployment(
-        12, 3, mapplans.Sheet(11, 4, 96, 0.4), 3.9, 0.59
+        12, 3, mapplans.EngineParameters(11, 4, 96, 0.4), 3.9, 0.59
     ),
     'fast copies': Deployment(
-        16, 4, mapplans.Sheet(5, 2, 64, 0.04), 3.3, 0.59
+        16, 4, mapplans.EngineParameters(5, 2, 64, 0.04), 3.3, 0.59
     ),
 }
 
@@ -58,7 +58,7 @@
 class Plan(typing.NamedTuple):
     """A map on its way, and when it is in use."""
 
-    placed: mapplans.Placed
+    placed: mapplans.Placement
     from_s: float
 
 
@@ -105,7 +105,7 @@
         self.likes = self._likes()
         self._skew = None
 
-    def use(self, placed: mapplans.Placed) -> None:
+    def use(self, placed: mapplans.Placement) -> None:
         """Take a map into use."""
         self.placed, self.coming = placed, None
         self._skew = None
@@ -151,12 +151,12 @@
         new = [
             sum(
                 len(set(after[rank]) - set(before[rank]))
-                for before, after in zip(self.placed, planned.placed)
+                for before, after in zip(self.placed, planned.placement)
             )
             for rank in range(self.made.ranks)
         ]
         copied_s = max(new) * self.made.sheet.copy_s
-        self.coming = Plan(planned.placed, now_s + copied_s + ORDERS_S)
+        self.coming = Plan(planned.placement, now_s + copied_s + ORDERS_S)
 
 
 #: Plans where it wants to: the world, a report or None, whether demand has
@@ -204,7 +204,7 @@
     def policy(world: World, counts, shifted: bool, now_s: float) -> None:
         if counts is not None:
             choices = demand.pack([round(count) for count in counts])
-            outdated[0] |= known.take(choices, now_s)
+            outdated[0] |= known.record(choices, now_s)
         if not (known.is_settled if waits else known.mean):
             return
         copying = world.coming and now_s < world.coming.from_s - ORDERS_S
--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -64,11 +64,11 @@
     if fault == 'is cut short':
         packed = packed._replace(data=packed.data[:-4])
     elif fault == 'tells a size of nothing':
-        packed = packed._replace(places=0)
+        packed = packed._replace(slots=0)
     elif fault == 'tells a size beyond all bounds':
         packed = packed._replace(ranks=10**9)
     elif fault == 'holds more than it tells':
-        packed = packed._replace(places=2)
+        packed = packed._replace(slots=2)
     else:
         known = [by_rank[:-1] for by_rank in known]
     try:
@@ -206,7 +206,7 @@
     def report(self, rank, size, known_map=ranks.NO_VERSION, **fields):
         state = _state(rank, size, **fields)
         report = messages.RankReport(
-            f'i-{rank}', state, [[1]], demand.NO_CHOICES, known_map
+            f'i-{rank}', state, [[1]], demand.NO_COUNTS, known_map
         )
 
         reply = self.groups.on_report(PEER, report)
@@ -253,7 +253,7 @@
     group.whole = counted
     states = [report.state for report, _ in group.reports.values()]
     change = mapchanges.Change('g', 1, 9, _first_map())
-    group.maps[9] = change.placed
+    group.maps[9] = change.placement
     group.progress = mapchanges.Progress(change, states)
     context.kinds = []
     fields = {'prepared': 9}
@@ -317,7 +317,7 @@
     group = context.leader.groups.by_name['g']
     group.demand.mean = [1.0 * mapplanning.LEAST_CHOICES]
     planner = context.leader.groups.planner
-    planner._sheet = lambda _: mapplans.Sheet(PLACES, 2, EXPERTS)
+    planner._sheet = lambda _: mapplans.EngineParameters(PLACES, 2, EXPERTS)
     planner.offload = search
     return group
 
@@ -327,7 +327,7 @@
     async def search(*_args):
         # What `Group.take` notes of a shift.
         context.group.outdated = True
-        return mapplans.Planned(_first_map(), 'better')
+        return mapplans.MapPlan(_first_map(), 'better')
 
     async def propose(_payload):
         return 12
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -43,7 +43,7 @@
         self,
         app: application.Application,
         replica: replicas.Replica,
-        sheet: typing.Callable[[str], mapplans.Sheet | None],
+        sheet: typing.Callable[[str], mapplans.EngineParameters | None],
     ):
         self.app = app
         self.replica = replica
@@ -128,7 +128,7 @@
             report.instance_id,
             state.running,
             state.waiting,
-            round(100 * state.pace),
+            round(100 * state.slowdown),
             list(self.by_name).index(state.group) + 1 if group else 0,
             state.is_open or group is None,
         )
--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -48,7 +48,7 @@
         self,
         app: application.Application,
         replica: replicas.Replica,
-        sheet: typing.Callable[[str], mapplans.Sheet | None],
+        sheet: typing.Callable[[str], mapplans.EngineParameters | None],
     ):
         self.app = app
         self.replica = replica
@@ -95,10 +95,10 @@
         self,
         group: rankgroups.Group,
         states: list[ranks.RankState],
-        sheet: mapplans.Sheet,
+        sheet: mapplans.EngineParameters,
     ) -> None:
         """Look for a map that pays, and begin its change."""
-        paces = [state.pace for state in states]
+        paces = [state.slowdown for state in states]
         try:
             planned = await self.offload(
                 mapplans.plan,
@@ -121,7 +121,7 @@
         self,
         group: rankgroups.Group,
         state: ranks.RankState,
-        planned: mapplans.Planned,
+        planned: mapplans.MapPlan,
     ) -> None:
         """Give a plan its version, which no other plan ever has."""
         command = commands.NextVersion(self.app.wall_s())
@@ -132,11 +132,11 @@
             return
         while len(group.maps) >= KEPT_MAPS:
             del group.maps[next(iter(group.maps))]
-        group.maps[version] = planned.placed
+        group.maps[version] = planned.placement
         states = [report.state for report, _ in group.reports.values()]
         group.progress = mapchanges.Progress(
             mapchanges.Change(
-                state.group, state.epoch, version, planned.placed
+                state.group, state.epoch, version, planned.placement
             ),
             states,
         )
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -65,7 +65,7 @@
         self.told: tuple[mapchanges.Phase, int, int] | None = None
         self.phase_s = 0.0
         #: Maps by version that sidecars may hold, the newest last.
-        self.maps: dict[int, ranks.Placed] = {}
+        self.maps: dict[int, ranks.Placement] = {}
         self._holding: set[int] = set()
         self._whole_until_s = 0.0
         self._looked_s = float('-inf')
@@ -94,10 +94,10 @@
         else:
             self._holding.add(state.rank)
         if self.progress is not None:
-            self.progress.take(state)
+            self.progress.record(state)
         self._time_passes(state.step, now_s)
         choices = report.counts
-        if choices.parts and self.demand.take(choices, now_s):
+        if choices.levels and self.demand.record(choices, now_s):
             self.outdated = True
             self.plan_from_s = now_s
             logger.info('demand shifted', group=state.group, step=state.step)
@@ -150,11 +150,11 @@
     def pass_s(self, now_s: float) -> float:
         """Return how long a pass takes, by the newest ones."""
         if len(self._passes) < 2:
-            return mapchanges.USUAL_PASS_S
+            return mapchanges.DEFAULT_PASS_S
         (first, first_s), (last, last_s) = self._passes[0], self._passes[-1]
         lasted_s = (last_s - first_s) / (last - first)
         # The pass under way may be the first slow one.
-        return max(lasted_s, now_s - last_s, mapchanges.USUAL_PASS_S / 4)
+        return max(lasted_s, now_s - last_s, mapchanges.DEFAULT_PASS_S / 4)
 
     def is_whole(self, now_s: float) -> bool:
         """Return whether all ranks are open and have reported of late."""
@@ -202,7 +202,7 @@
         if self.change is None:
             return True
         is_held = self.change.step != ranks.NO_VERSION
-        return self.outdated and not is_held and bool(self.change.placed)
+        return self.outdated and not is_held and bool(self.change.placement)
 
     def is_watching(self, rank: int) -> bool:
         """Return whether a rank is to report each pass of a change."""
@@ -221,7 +221,7 @@
         """Return whether it is known what all ranks hold."""
         return all(self.knows_experts(rank) for rank in self.reports)
 
-    def placed(self) -> ranks.Placed:
+    def placed(self) -> ranks.Placement:
         """Return the map in use, by set and rank."""
         listed = [
             self.reports[rank][0].experts for rank in sorted(self.reports)
--- a/mountridge/sidecar.py
+++ b/mountridge/sidecar.py
@@ -110,7 +110,7 @@
         state.armed,
         state.armed_step,
         state.held_step,
-        round(state.pace),
+        round(state.slowdown),
     )
 
 
@@ -142,7 +142,7 @@
         #: The order carried out last, and when.
         self._order = (ranks.NO_ORDER, float('-inf'))
         #: The newest maps that came, by version, the newest last.
-        self._maps: dict[int, ranks.Placed] = {}
+        self._maps: dict[int, ranks.Placement] = {}
         self._wake = trio.Event()
 
     async def run(self) -> None:
@@ -266,7 +266,7 @@
 
     def _unpack(
         self, order: ranks.RankOrder, packed: mapdeltas.PackedMap
-    ) -> ranks.Placed:
+    ) -> ranks.Placement:
         """Return the map that came with an order, and keep it.
 
         :raises BadMessage: it can't be read, or differs from another map
@@ -297,23 +297,25 @@
             self._tell_experts = True
             self._map_version = state.map_version
 
-    async def _fresh_counts(self, state: ranks.RankState) -> demand.Choices:
+    async def _fresh_counts(
+        self, state: ranks.RankState
+    ) -> demand.PackedCounts:
         """Return the choices since they were last told, in due time."""
         now_s = self.app.now_s()
         is_due = now_s - self._counted_s >= COUNTS_PART * self._report_s
         is_asked = self._tell_counts and state.group and state.is_open
         if not is_asked or not is_due:
-            return demand.NO_CHOICES
+            return demand.NO_COUNTS
         counts = await self.engine.counts()
         before = self._counts
         self._counts = counts
         self._counted_s = now_s
         if len(before) != len(counts):
-            return demand.NO_CHOICES
+            return demand.NO_COUNTS
         fresh = [now - then for now, then in zip(counts, before)]
         if min(fresh, default=0) < 0:
             # The engine counts anew: it has started again.
-            return demand.NO_CHOICES
+            return demand.NO_COUNTS
         return demand.pack(fresh)
 
     def dump(self) -> dict:
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -375,7 +375,7 @@
     Mutant(
         'entry: hold before all have prepared', 'mapchanges',
         'if self.change.step == ranks.NO_VERSION and self._unprepared:',
-        'if self.change.step == ranks.NO_VERSION and HOLDER in '
+        'if self.change.step == ranks.NO_VERSION and HOLD_RANK in '
         'self._unprepared:', 'entry', 'One map',
     ),
     Mutant(
@@ -475,8 +475,8 @@
     ),
     Mutant(
         'maps: least gain of a copy whatever the ranks', 'mapplans',
-        'LEAST_MOVE_GAIN / len(paces),', 'LEAST_MOVE_GAIN / 12,', 'mapplans',
-        'evened out',
+        'MIN_COPY_GAIN / len(slowdowns),', 'MIN_COPY_GAIN / 12,', 'mapplans',
+        'is balanced',
     ),
     Mutant(
         'placing: slow runners like others', 'backends',
@@ -486,12 +486,12 @@
     ),
     Mutant(
         'maps: slow ranks keep their experts', 'mapplans',
-        '_relieve(by_rank, asked, slow, sheet, taken)', 'by_rank',
-        'mapplans',
+        '_relieve(by_rank, set_load, slow, parameters, total_copies)',
+        'by_rank', 'mapplans',
     ),
     Mutant(
         'maps: a slow rank relieved by some, not by all alike', 'mapplans',
-        'if taken_by_all[r] == fewest]', ']', 'mapplans',
+        'if total_copies[r] == fewest]', ']', 'mapplans',
     ),
     Mutant(
         'maps: copies bounded by set alone', 'mapplans',
@@ -499,8 +499,9 @@
     ),
     Mutant(
         'demand: shifts not told', 'demand',
-        'if distance > max(LEAST_DISTANCE, TIMES_USUAL * self._usual):',
-        'if False:', 'demand',
+        '        if distance > max(\n            MIN_SHIFT_DISTANCE, '
+        'SHIFT_RATIO * self._usual_distance\n        ):',
+        '        if False:', 'demand',
     ),
     Mutant(
         'demand: counts of before a shift kept', 'demand',
@@ -535,7 +536,7 @@
     ),
     Mutant(
         'maps: experts of a plan told anew', 'mapplans',
-        '        weighed,\n        placed,\n', '        weighed,\n',
+        '        weights,\n        placement,\n', '        weights,\n',
         'mapplans',
     ),
     Mutant(
@@ -978,7 +979,7 @@
     ),
     Mutant(
         'lives: any number of an engine', 'ranks',
-        'if values and not (least <= min(values) and max(values) <= most):',
+        'if values and not (low <= min(values) and max(values) <= high):',
         'if False:', 'lives',
     ),
     Mutant(
