--- a/mountridge/groups/engines.py
+++ b/mountridge/groups/engines.py
@@ -84,7 +84,7 @@
         except RecursionError:
             raise errors.BadAnswer('an answer nested too deep')
 
-    async def order(self, target: bytes, body: bytes) -> None:
+    async def send_order(self, target: bytes, body: bytes) -> None:
         """Give an order.
 
         :raises RefusedChange: it does not fit the engine's state.
@@ -135,7 +135,7 @@
 
     async def follow(self, order: ranks.RankOrder) -> None:
         """Carry out an order."""
-        await self._calls.order(ORDER, msgspec.json.encode(order))
+        await self._calls.send_order(ORDER, msgspec.json.encode(order))
 
 
 def connect(app: application.Application) -> NativeEngine:
