--- a/mountridge/groups/engines.py
+++ b/mountridge/groups/engines.py
@@ -17,7 +17,7 @@
 from mountridge.net import dialects, lasthop
 
 __all__ = [
-    'EngineCalls', 'NativeEngine', 'ORDER_S', 'checked_id', 'connect',
+    'EngineCalls', 'NativeEngine', 'ORDER_S', 'instance_id_from', 'connect',
     'connect_to',
 ]  # fmt: skip
 
@@ -98,7 +98,7 @@
             raise errors.RefusedChange(f'answered {head.status}: {reason}')
 
 
-def checked_id(head: dialects.ReplyHead) -> str:
+def instance_id_from(head: dialects.ReplyHead) -> str:
     """Return the id of the runner that an answer names.
 
     :raises BadAnswer: it names none, or what can be none.
@@ -131,7 +131,7 @@
     async def instance_id(self) -> str:
         """Return the id under which its runner is registered."""
         head, _ = await self._calls.call(b'GET', STATE)
-        return checked_id(head)
+        return instance_id_from(head)
 
     async def follow(self, order: ranks.RankOrder) -> None:
         """Carry out an order."""
