--- a/features/worlds/group.py
+++ b/features/worlds/group.py
@@ -46,7 +46,7 @@
                 self.inbox.append((self.now + 1, number) + message[2:])
             elif rank not in self.dead and gate is self.gates[rank]:
                 # What was sent to an earlier incarnation does not arrive.
-                gate.hear(fence, state)
+                gate.apply(fence, state)
         for rank in range(len(self.gates)):
             if rank not in self.dead | self.frozen:
                 self.run_rank(rank)
--- a/mountridge/groups/gates.py
+++ b/mountridge/groups/gates.py
@@ -90,7 +90,7 @@
         self.entered = 0  # newest step entered
         self.armed = 0  # version armed for, 0 for none
 
-    def hear(self, fence: messages.Fence, state: MapState) -> bool:
+    def apply(self, fence: messages.Fence, state: MapState) -> bool:
         """Take the log's state; false for one older than what is known."""
         if fence < self.fence:
             return False
