--- a/features/worlds/group.py
+++ b/features/worlds/group.py
@@ -20,7 +20,7 @@
 
     def __init__(self, ranks, seed):
         self.rng = random.Random(seed)
-        self.log = [gates.first_state(GROUP)]
+        self.log = [gates.initial_state(GROUP)]
         self.term = 1
         self.gates = [gates.Gate() for _ in range(ranks)]
         self.steps = [0] * ranks  # the next step of each rank
--- a/mountridge/groups/gates.py
+++ b/mountridge/groups/gates.py
@@ -15,7 +15,7 @@
 from mountridge import messages
 
 __all__ = [
-    'Gate', 'MapState', 'WAIT', 'close_map', 'first_state', 'open_map',
+    'Gate', 'MapState', 'WAIT', 'close_map', 'initial_state', 'open_map',
 ]  # fmt: skip
 
 
@@ -38,7 +38,7 @@
 MAX_HISTORY = 16
 
 
-def first_state(group: str) -> MapState:
+def initial_state(group: str) -> MapState:
     """Return the state of a group that has only ever had its first map."""
     return MapState(group, ((0, 1),), 0, 0, 1)
 
