--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -36,9 +36,9 @@
         sheet = mapplans.Sheet(SHEET.places, SHEET.spare, SHEET.experts)
         self.groups = groups.Groups(self, self, lambda _: sheet)
         if not world.alone:
-            self.groups.give_elsewhere = self._give_elsewhere
+            self.groups.send_remote_order = self._send_remote_order
 
-    def _give_elsewhere(self, remote):
+    def _send_remote_order(self, remote):
         engine = self.world.remote_engine(remote.instance_id)
         self.world.nursery.start_soon(sidecar.follow, engine, remote.order)
         return True
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -52,9 +52,9 @@
             group, ranks.NO_VERSION, app.now_s()
         )
         #: Lets another box give an order; tells whether one was found.
-        self.give_elsewhere: typing.Callable[[messages.RemoteOrder], bool] = (
-            lambda _: False
-        )
+        self.send_remote_order: typing.Callable[
+            [messages.RemoteOrder], bool
+        ] = lambda _: False
         #: Start of the life that is registered of a runner; 0: not told.
         self.born_ms: typing.Callable[[str], int] = lambda instance_id: 0
         self.by_name: dict[str, rankgroups.Group] = {}
@@ -236,10 +236,10 @@
             return None
         order = progress.order_for(report.state.rank)
         if order is not None and order.kind == ranks.HOLD:
-            return self._hold_elsewhere(group, report, order, now_s)
+            return self._hold_remotely(group, report, order, now_s)
         return order
 
-    def _hold_elsewhere(
+    def _hold_remotely(
         self,
         group: rankgroups.Group,
         report: messages.RankReport,
@@ -255,7 +255,7 @@
         if order.step == step:
             return order if now_s - given_s > REMOTE_HOLD_S else None
         remote = messages.RemoteOrder(report.instance_id, order)
-        if not self.give_elsewhere(remote):
+        if not self.send_remote_order(remote):
             return order
         group.remote_hold = (order.step, now_s)
         return None
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -540,7 +540,7 @@
     ),
     Mutant(
         'maps: the held box holds', 'groups',
-        'if not self.give_elsewhere(remote):', 'if True:', 'entry',
+        'if not self.send_remote_order(remote):', 'if True:', 'entry',
         'Whoever is lost',
     ),
     Mutant(
