--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -757,7 +757,7 @@
         check_leader=lambda: None, node=types.SimpleNamespace(term=1)
     )
     context.groups = groups.Groups(app, replica, lambda _: None)
-    context.groups.born_ms = {'i': 995000}.get
+    context.groups.registered_start_ms = {'i': 995000}.get
 
 
 def _report(context, born_ms):
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -64,7 +64,7 @@
             app, self.replica, lambda instance_id: self.sheet(instance_id)
         )
         self.groups.send_remote_order = self.give_elsewhere
-        self.groups.born_ms = self._born_ms
+        self.groups.registered_start_ms = self._born_ms
         #: Incarnations that a later one of the same name has replaced.
         self._replaced: set[tuple[str, str]] = set()
 
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -56,7 +56,9 @@
             [messages.RemoteOrder], bool
         ] = lambda _: False
         #: Start of the life that is registered of a runner; 0: not told.
-        self.born_ms: typing.Callable[[str], int] = lambda instance_id: 0
+        self.registered_start_ms: typing.Callable[[str], int] = (
+            lambda instance_id: 0
+        )
         self.by_name: dict[str, rankgroups.Group] = {}
         self._loads: dict[str, messages.RunnerLoad] = {}
         #: Packed maps by version and base.
@@ -117,7 +119,7 @@
         self, report: messages.RankReport, now_s: float
     ) -> rankgroups.Group | None:
         state = report.state
-        if 0 < state.born_ms < self.born_ms(report.instance_id):
+        if 0 < state.born_ms < self.registered_start_ms(report.instance_id):
             # It was under way when the runner started again.
             self.app.metrics.incr('rank.reports.former')
             return None
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -986,7 +986,7 @@
     ),
     Mutant(
         'lives: reports of a former life', 'groups',
-        'if 0 < state.born_ms < self.born_ms(report.instance_id):',
+        'if 0 < state.born_ms < self.registered_start_ms(report.instance_id):',
         'if False:', 'lives',
     ),
     Mutant(
