--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -776,9 +776,9 @@
 @then('no load is passed on, and no order is given')
 def check_no_load(context):
     assert context.reply.order is None
-    assert context.groups.take_loads() == []
+    assert context.groups.pop_loads() == []
     _report(context, 995000)
-    assert len(context.groups.take_loads()) == 1
+    assert len(context.groups.pop_loads()) == 1
 
 
 @given('an emulated runner, a registry and a gateway that follows it')
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -219,7 +219,7 @@
             await trio.sleep(loads_interval_s(len(routes)))
             if not self.replica.lease_valid():
                 continue
-            told = self.groups.take_loads()
+            told = self.groups.pop_loads()
             if told:
                 self.app.send_all(self._gateway_routes(), messages.Loads(told))
 
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -70,7 +70,7 @@
         self._loads.clear()
         self._packed.clear()
 
-    def take_loads(self) -> list[messages.RunnerLoad]:
+    def pop_loads(self) -> list[messages.RunnerLoad]:
         """Return the loads that were reported since the last call."""
         told = list(self._loads.values())
         self._loads.clear()
