--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -379,7 +379,7 @@
 @then('{after_s:g} s later rank {rank:d} is the only one that is silent')
 def check_silent(context, after_s, rank):
     now_s = context.leader.at_s + after_s
-    silent = context.leader.groups.silent(0.4, now_s)
+    silent = context.leader.groups.unresponsive_ranks(0.4, now_s)
     assert [report.state.rank for report in silent] == [rank], silent
 
 
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -149,7 +149,7 @@
             return 0.0
         return COUNTING_S if group.is_counting(rank) else RESTING_S
 
-    def silent(
+    def unresponsive_ranks(
         self, after_s: float, now_s: float
     ) -> list[messages.RankReport]:
         """Return the last reports of ranks whose sidecars are silent.
@@ -162,10 +162,10 @@
         return [
             report
             for group in self.by_name.values()
-            for report in self._silent_in(group, after_s, now_s)
+            for report in self._unresponsive_in(group, after_s, now_s)
         ]
 
-    def _silent_in(
+    def _unresponsive_in(
         self, group: rankgroups.Group, after_s: float, now_s: float
     ) -> typing.Iterator[messages.RankReport]:
         asked: set[int] = set()
@@ -178,8 +178,8 @@
             late_s = after_s + self._interval_s(group, rank)
             if rank in asked or now_s - heard_s > late_s:
                 # Until it is heard again, not only for this step.
-                group.silent.add(rank)
-            if rank in group.silent:
+                group.unresponsive.add(rank)
+            if rank in group.unresponsive:
                 yield report
 
     # Orders.
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -49,7 +49,7 @@
         #: Of ranks that have reported in this epoch.
         self.contacts: dict[int, Contact] = {}
         #: Ranks whose own sidecars were late, and have not been heard since.
-        self.silent: set[int] = set()
+        self.unresponsive: set[int] = set()
         self.epoch = ranks.NO_VERSION
         self.size = 0
         self.demand = demand.Demand()
@@ -107,7 +107,7 @@
         self.size = state.size
         self.reports.clear()
         self.contacts.clear()
-        self.silent.clear()
+        self.unresponsive.clear()
         self._holding.clear()
         # What is asked for outlives the map, so that the first change
         # of the new epoch is planned as soon as the group is open.
@@ -118,7 +118,7 @@
     def heard(self, rank: int, route: bytes, now_s: float) -> None:
         """Note that a rank's own sidecar was heard."""
         self.contacts[rank] = Contact(route, now_s)
-        self.silent.discard(rank)
+        self.unresponsive.discard(rank)
 
     def _with_experts(
         self, report: messages.RankReport
--- a/mountridge/remoteranks.py
+++ b/mountridge/remoteranks.py
@@ -46,7 +46,7 @@
         """Stand in for silent sidecars while this process leads."""
         while True:
             await trio.sleep(LOOK_S)
-            silent = self.known.silent(SILENT_S, self.app.now_s())
+            silent = self.known.unresponsive_ranks(SILENT_S, self.app.now_s())
             async with trio.open_nursery() as nursery:
                 for report in silent:
                     nursery.start_soon(self._report, report)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -545,7 +545,7 @@
     ),
     Mutant(
         'maps: nobody stands in for a sidecar', 'groups',
-        'if rank in group.silent:',
+        'if rank in group.unresponsive:',
         'if False:', 'entry', 'Whoever is lost',
     ),
     Mutant(
