--- a/features/steps/demand_steps.py
+++ b/features/steps/demand_steps.py
@@ -133,7 +133,7 @@
 @given('a group of 12 ranks that copies the experts of a change')
 def make_group(context):
     context.group = rankgroups.Group()
-    context.group.take(_rank_report(context, 1), 0.0)
+    context.group.record_report(_rank_report(context, 1), 0.0)
     change = mapchanges.Change('g', 1, 9, [[[1], [2]]])
     context.group.progress = mapchanges.Progress(change, [])
     # The group's own counts stand in for those of the steps above.
@@ -143,7 +143,7 @@
 def _taker(context):
     def take(choices, now_s):
         before = context.group.outdated
-        context.group.take(_rank_report(context, 1, choices), now_s)
+        context.group.record_report(_rank_report(context, 1, choices), now_s)
         return context.group.outdated and not before
 
     return take
@@ -164,7 +164,7 @@
 
 @when('the group forms anew')
 def form_anew(context):
-    context.group.take(_rank_report(context, 2), context.now_s)
+    context.group.record_report(_rank_report(context, 2), context.now_s)
 
 
 @then('no change is under way, and what is asked for is known')
--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -325,7 +325,7 @@
 @when('demand shifts while a plan is searched for')
 def shift_in_search(context):
     async def search(*_args):
-        # What `Group.take` notes of a shift.
+        # What `Group.record_report` notes of a shift.
         context.group.outdated = True
         return mapplans.Planned(_first_map(), 'better')
 
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -94,7 +94,7 @@
             )
         if state.epoch == group.epoch:
             # A late report of an epoch that is over tells nothing of a rank.
-            group.heard(state.rank, peer.route, now_s)
+            group.record_contact(state.rank, peer.route, now_s)
         order = self._order_for(group, report, now_s)
         return messages.RankReply(
             term,
@@ -136,7 +136,7 @@
         )
         if group is None:
             return None
-        group.take(report, now_s)
+        group.record_report(report, now_s)
         if group.is_open_to_plans:
             self.planner.look(report.instance_id, group, now_s)
         self._advance(group, state.rank, now_s)
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -79,7 +79,7 @@
         """The change under way."""
         return self.progress.change if self.progress else None
 
-    def take(self, report: messages.RankReport, now_s: float) -> None:
+    def record_report(self, report: messages.RankReport, now_s: float) -> None:
         """Take one rank's report."""
         state = report.state
         if state.epoch < self.epoch:
@@ -115,7 +115,7 @@
         self._passes.clear()
         self._whole_until_s = 0.0
 
-    def heard(self, rank: int, route: bytes, now_s: float) -> None:
+    def record_contact(self, rank: int, route: bytes, now_s: float) -> None:
         """Note that a rank's own sidecar was heard."""
         self.contacts[rank] = Contact(route, now_s)
         self.unresponsive.discard(rank)
