--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -244,13 +244,13 @@
 def go_through_change(context):
     leader, size = context.leader, context.size
     group = leader.groups.by_name['g']
-    whole, context.looks = group.whole, 0
+    complete_states, context.looks = group.complete_states, 0
 
     def counted(now_s):
         context.looks += 1
-        return whole(now_s)
+        return complete_states(now_s)
 
-    group.whole = counted
+    group.complete_states = counted
     states = [report.state for report, _ in group.reports.values()]
     change = mapchanges.Change('g', 1, 9, _first_map())
     group.maps[9] = change.placed
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -192,7 +192,7 @@
         The rank that reports gets its order with the answer.
         """
         progress = group.progress
-        if progress is None or not group.is_whole(now_s):
+        if progress is None or not group.is_complete(now_s):
             return
         progress.choose_step(group.newest_step, group.pass_s(now_s))
         change, phase = progress.change, progress.phase
@@ -234,7 +234,7 @@
     ) -> ranks.RankOrder | None:
         """Return the order for a rank, None where it is to follow none."""
         progress = group.progress
-        if progress is None or not group.is_whole(now_s):
+        if progress is None or not group.is_complete(now_s):
             return None
         order = progress.order_for(report.state.rank)
         if order is not None and order.kind == ranks.HOLD:
--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -71,9 +71,9 @@
         0.4 s, and would then look like a leader that is gone.
         """
         may_plan = now_s >= group.plan_from_s and group.demand.is_settled
-        if not (may_plan or group.is_held) or not group.is_whole(now_s):
+        if not (may_plan or group.is_held) or not group.is_complete(now_s):
             return
-        states = group.whole(now_s)
+        states = group.complete_states(now_s)
         if states is None:
             return
         found = mapchanges.find_change(states)
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -67,7 +67,7 @@
         #: Maps by version that sidecars may hold, the newest last.
         self.maps: dict[int, ranks.Placed] = {}
         self._holding: set[int] = set()
-        self._whole_until_s = 0.0
+        self._complete_until_s = 0.0
         self._looked_s = float('-inf')
         #: When each of the newest passes was first heard of.
         self._passes: collections.deque[tuple[int, float]] = (
@@ -88,7 +88,7 @@
             self._begin_epoch(state)
         self.reports[state.rank] = (self._with_experts(report), now_s)
         if not state.is_open:
-            self._whole_until_s = 0.0
+            self._complete_until_s = 0.0
         if state.held_step == ranks.NO_VERSION:
             self._holding.discard(state.rank)
         else:
@@ -113,7 +113,7 @@
         # of the new epoch is planned as soon as the group is open.
         self.progress = None
         self._passes.clear()
-        self._whole_until_s = 0.0
+        self._complete_until_s = 0.0
 
     def record_contact(self, rank: int, route: bytes, now_s: float) -> None:
         """Note that a rank's own sidecar was heard."""
@@ -156,16 +156,16 @@
         # The pass under way may be the first slow one.
         return max(lasted_s, now_s - last_s, mapchanges.USUAL_PASS_S / 4)
 
-    def is_whole(self, now_s: float) -> bool:
+    def is_complete(self, now_s: float) -> bool:
         """Return whether all ranks are open and have reported of late."""
-        if now_s < self._whole_until_s:
+        if now_s < self._complete_until_s:
             return True
         if now_s - self._looked_s < LOOK_S:
             return False
         self._looked_s = now_s
-        return self.whole(now_s) is not None
+        return self.complete_states(now_s) is not None
 
-    def whole(self, now_s: float) -> list[ranks.RankState] | None:
+    def complete_states(self, now_s: float) -> list[ranks.RankState] | None:
         """Return all ranks' states where each has reported of late."""
         if len(self.reports) < self.size:
             return None
@@ -175,7 +175,7 @@
         states = [self.reports[rank][0].state for rank in sorted(self.reports)]
         if not all(state.is_open for state in states):
             return None
-        self._whole_until_s = oldest_s + REPORT_OLD_S
+        self._complete_until_s = oldest_s + REPORT_OLD_S
         return states
 
     @property
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -453,7 +453,7 @@
     ),
     Mutant(
         'maps: each report looks at all ranks', 'rankgroups',
-        'if now_s < self._whole_until_s:', 'if False:', 'manyranks',
+        'if now_s < self._complete_until_s:', 'if False:', 'manyranks',
         'takes few looks',
     ),
     Mutant(
