--- a/features/steps/demand_steps.py
+++ b/features/steps/demand_steps.py
@@ -151,7 +151,7 @@
 
 @then('a newer plan may take the place of the change')
 def check_gives_way(context):
-    assert context.told_s and context.group.is_open_to_plans
+    assert context.told_s and context.group.accepts_new_change
 
 
 @then('none may once a pass is held for it')
@@ -159,7 +159,7 @@
     group = context.group
     held = group.change._replace(step=12)
     group.progress = mapchanges.Progress(held, [])
-    assert not group.is_open_to_plans
+    assert not group.accepts_new_change
 
 
 @when('the group forms anew')
--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -346,7 +346,7 @@
 @then('the plan is begun, and a newer one may take its place')
 def check_outdated(context):
     assert context.group.change.version == 12
-    assert context.group.outdated and context.group.is_open_to_plans
+    assert context.group.outdated and context.group.accepts_new_change
 
 
 @when('searches find nothing for 1 s of reports, 0.005 s apart')
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -137,7 +137,7 @@
         if group is None:
             return None
         group.record_report(report, now_s)
-        if group.is_open_to_plans:
+        if group.accepts_new_change:
             self.planner.look(report.instance_id, group, now_s)
         self._advance(group, state.rank, now_s)
         return group
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -191,7 +191,7 @@
         )
 
     @property
-    def is_open_to_plans(self) -> bool:
+    def accepts_new_change(self) -> bool:
         """Return whether a new change may begin.
 
         A change whose copies are under way gives way to one that fits what
