--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -71,7 +71,9 @@
         0.4 s, and would then look like a leader that is gone.
         """
         may_plan = now_s >= group.plan_from_s and group.demand.is_settled
-        if not (may_plan or group.is_held) or not group.is_complete(now_s):
+        if not (may_plan or group.has_held_pass) or not group.is_complete(
+            now_s
+        ):
             return
         states = group.complete_states(now_s)
         if states is None:
@@ -127,8 +129,8 @@
         command = commands.NextVersion(self.app.wall_s())
         version = await self.replica.propose(commands.encode(command))
         change = group.change
-        is_held = change is not None and change.step != ranks.NO_VERSION
-        if group.epoch != state.epoch or is_held or group.is_held:
+        has_step = change is not None and change.step != ranks.NO_VERSION
+        if group.epoch != state.epoch or has_step or group.has_held_pass:
             return
         while len(group.maps) >= KEPT_MAPS:
             del group.maps[next(iter(group.maps))]
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -179,7 +179,7 @@
         return states
 
     @property
-    def is_held(self) -> bool:
+    def has_held_pass(self) -> bool:
         """Return whether some rank keeps a pass from beginning."""
         return bool(self._holding)
 
@@ -201,8 +201,8 @@
             return False
         if self.change is None:
             return True
-        is_held = self.change.step != ranks.NO_VERSION
-        return self.outdated and not is_held and bool(self.change.placed)
+        has_step = self.change.step != ranks.NO_VERSION
+        return self.outdated and not has_step and bool(self.change.placed)
 
     def is_watching(self, rank: int) -> bool:
         """Return whether a rank is to report each pass of a change."""
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -458,9 +458,10 @@
     ),
     Mutant(
         'maps: shifts during a search forgotten', 'mapplanning',
-        'if group.epoch != state.epoch or is_held or group.is_held:',
+        'if group.epoch != state.epoch or has_step or group.has_held_pass:',
         'group.outdated = False\n'
-        '        if group.epoch != state.epoch or is_held or group.is_held:',
+        '        if group.epoch != state.epoch or has_step or '
+        'group.has_held_pass:',
         'manyranks', 'shift that is told',
     ),
     Mutant(
@@ -515,7 +516,8 @@
     ),
     Mutant(
         'maps: a change gives way after a hold', 'rankgroups',
-        'return self.outdated and not is_held and', 'return self.outdated and',
+        'return self.outdated and not has_step and',
+        'return self.outdated and',
         'demand',
     ),
     Mutant(
