--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -199,7 +199,7 @@
         if phase == mapchanges.Phase.DONE:
             logger.info('map in use', **mapplanning.told(change))
             group.progress = None
-            group.plan_from_s = now_s + mapplanning.PAUSE_S
+            group.next_plan_s = now_s + mapplanning.PAUSE_S
             return
         if group.told != (phase, change.version, change.step):
             group.told = (phase, change.version, change.step)
--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -70,7 +70,7 @@
         at once. A search may take longer than a sidecar waits for an answer,
         0.4 s, and would then look like a leader that is gone.
         """
-        may_plan = now_s >= group.plan_from_s and group.demand.is_settled
+        may_plan = now_s >= group.next_plan_s and group.demand.is_settled
         if not (may_plan or group.has_held_pass) or not group.is_complete(
             now_s
         ):
@@ -117,7 +117,7 @@
         finally:
             group.planning = False
             if group.change is None and not group.outdated:
-                group.plan_from_s = self.app.now_s() + FUTILE_S
+                group.next_plan_s = self.app.now_s() + FUTILE_S
 
     async def _begin(
         self,
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -55,7 +55,7 @@
         self.demand = demand.Demand()
         self.progress: mapchanges.Progress | None = None
         #: No plan is looked for before that.
-        self.plan_from_s = 0.0
+        self.next_plan_s = 0.0
         #: Whether demand has shifted since the change under way was planned.
         self.outdated = False
         self.planning = False
@@ -99,7 +99,7 @@
         choices = report.counts
         if choices.parts and self.demand.take(choices, now_s):
             self.outdated = True
-            self.plan_from_s = now_s
+            self.next_plan_s = now_s
             logger.info('demand shifted', group=state.group, step=state.step)
 
     def _begin_epoch(self, state: ranks.RankState) -> None:
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -466,7 +466,7 @@
     ),
     Mutant(
         'maps: no rest after a search in vain', 'mapplanning',
-        'group.plan_from_s = self.app.now_s() + FUTILE_S', 'pass',
+        'group.next_plan_s = self.app.now_s() + FUTILE_S', 'pass',
         'manyranks', 'search that found',
     ),
     Mutant(
