--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -29,8 +29,8 @@
 #: shift is told within two spans of `demand`, and of the others, whose loads
 #: gateways know from their own answers too. 192 ranks make 430 reports a
 #: second then instead of 1,600.
-COUNTING_S = 0.2
-RESTING_S = 0.5
+COUNTS_INTERVAL_S = 0.2
+NO_COUNTS_INTERVAL_S = 0.5
 #: Packed forms of maps that are kept: of the newest, for the few versions
 #: that sidecars hold.
 KEPT_PACKED = 6
@@ -48,7 +48,7 @@
         self.app = app
         self.replica = replica
         self.planner = mapplanning.Planner(app, replica, sheet)
-        self.planner.begun = lambda group: self._advance(
+        self.planner.on_change_begun = lambda group: self._advance(
             group, ranks.NO_VERSION, app.now_s()
         )
         #: Lets another box give an order; tells whether one was found.
@@ -100,10 +100,10 @@
             term,
             order and order._replace(placed=[]),
             self._map_for(group, order, report.known_map),
-            self._interval_s(group, state.rank),
-            group.is_watching(state.rank),
+            self._report_interval_s(group, state.rank),
+            group.reports_each_pass(state.rank),
             not group.knows_experts(state.rank),
-            group.is_counting(state.rank),
+            group.reports_counts(state.rank),
         )
 
     def on_remote_report(
@@ -138,16 +138,20 @@
             return None
         group.record_report(report, now_s)
         if group.accepts_new_change:
-            self.planner.look(report.instance_id, group, now_s)
+            self.planner.consider_change(report.instance_id, group, now_s)
         self._advance(group, state.rank, now_s)
         return group
 
-    def _interval_s(self, group: rankgroups.Group, rank: int) -> float:
+    def _report_interval_s(self, group: rankgroups.Group, rank: int) -> float:
         """Return how long a rank may rest between reports; 0 for usual."""
         known = sum(len(each.reports) for each in self.by_name.values())
         if known <= FEW_RANKS:
             return 0.0
-        return COUNTING_S if group.is_counting(rank) else RESTING_S
+        return (
+            COUNTS_INTERVAL_S
+            if group.reports_counts(rank)
+            else NO_COUNTS_INTERVAL_S
+        )
 
     def unresponsive_ranks(
         self, after_s: float, now_s: float
@@ -169,14 +173,17 @@
         self, group: rankgroups.Group, after_s: float, now_s: float
     ) -> typing.Iterator[messages.RankReport]:
         asked: set[int] = set()
-        if group.progress is not None and now_s - group.phase_s > after_s:
+        if (
+            group.progress is not None
+            and now_s - group.phase_began_s > after_s
+        ):
             asked.update(group.progress.waiting_for())
         for rank, contact in group.contacts.items():
-            if now_s - contact.heard_s <= after_s:
+            if now_s - contact.received_s <= after_s:
                 continue
-            report, heard_s = group.reports[rank]
-            late_s = after_s + self._interval_s(group, rank)
-            if rank in asked or now_s - heard_s > late_s:
+            report, received_s = group.reports[rank]
+            late_s = after_s + self._report_interval_s(group, rank)
+            if rank in asked or now_s - received_s > late_s:
                 # Until it is heard again, not only for this step.
                 group.unresponsive.add(rank)
             if rank in group.unresponsive:
@@ -197,22 +204,22 @@
         progress.choose_step(group.newest_step, group.pass_s(now_s))
         change, phase = progress.change, progress.phase
         if phase == mapchanges.Phase.DONE:
-            logger.info('map in use', **mapplanning.told(change))
+            logger.info('map in use', **mapplanning.log_fields(change))
             group.progress = None
             group.next_plan_s = now_s + mapplanning.PAUSE_S
             return
-        if group.told != (phase, change.version, change.step):
-            group.told = (phase, change.version, change.step)
-            group.phase_s = now_s
-            self._tell(group, reporter, now_s)
+        if group.announced != (phase, change.version, change.step):
+            group.announced = (phase, change.version, change.step)
+            group.phase_began_s = now_s
+            self._push_orders(group, reporter, now_s)
 
-    def _tell(
-        self, group: rankgroups.Group, but_rank: int, now_s: float
+    def _push_orders(
+        self, group: rankgroups.Group, except_rank: int, now_s: float
     ) -> None:
         """Send its order to each rank that a change waits for."""
         for rank in group.progress.waiting_for():
             contact = group.contacts.get(rank)
-            if rank == but_rank or contact is None:
+            if rank == except_rank or contact is None:
                 continue
             report = group.reports[rank][0]
             order = self._order_for(group, report, now_s)
--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -12,7 +12,7 @@
 from mountridge.logs import logger
 from mountridge.state import commands
 
-__all__ = ['PAUSE_S', 'Planner', 'told']
+__all__ = ['PAUSE_S', 'Planner', 'log_fields']
 
 #: Least time between the end of a change and the next plan.
 PAUSE_S = 0.05
@@ -27,11 +27,11 @@
 KEPT_MAPS = 3
 
 
-async def _at_once(function: typing.Callable, *args: typing.Any):
+async def _run_inline(function: typing.Callable, *args: typing.Any):
     return function(*args)
 
 
-def told(change: mapchanges.Change) -> dict[str, typing.Any]:
+def log_fields(change: mapchanges.Change) -> dict[str, typing.Any]:
     """Return the fields of a log line on a change."""
     return {
         'group': change.group,
@@ -55,13 +55,13 @@
         self._sheet = sheet
         #: Runs the search for a plan; a process that serves requests gives
         #: one that runs it in a thread.
-        self.offload: typing.Callable = _at_once
+        self.offload: typing.Callable = _run_inline
         #: Called when a change has begun, so that its orders go out at once.
-        self.begun: typing.Callable[[rankgroups.Group], None] = (
+        self.on_change_begun: typing.Callable[[rankgroups.Group], None] = (
             lambda group: None
         )
 
-    def look(
+    def consider_change(
         self, instance_id: str, group: rankgroups.Group, now_s: float
     ) -> None:
         """Begin a change where one was left under way, or look for one.
@@ -81,7 +81,7 @@
         found = mapchanges.find_change(states)
         if found is not None and group.change is None:
             group.progress = mapchanges.Progress(found, states)
-            logger.info('map change found', **told(found))
+            logger.info('map change found', **log_fields(found))
             return
         sheet = self._sheet(instance_id)
         if not may_plan or not group.knows_all_experts():
@@ -104,7 +104,7 @@
         try:
             planned = await self.offload(
                 mapplans.plan,
-                group.placed(),
+                group.current_map(),
                 list(group.demand.mean),
                 paces,
                 sheet,
@@ -142,5 +142,7 @@
             ),
             states,
         )
-        logger.info('map planned', **told(group.change), reason=planned.reason)
-        self.begun(group)
+        logger.info(
+            'map planned', **log_fields(group.change), reason=planned.reason
+        )
+        self.on_change_begun(group)
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -21,7 +21,7 @@
 #: A rank that has not reported for this long is unknown; nothing is begun.
 REPORT_OLD_S = 2.0
 #: Between two looks at all ranks of a group of which some are not known.
-LOOK_S = 0.02
+CHECK_INTERVAL_S = 0.02
 #: Span of the passes by which the length of one is told. Longer than some
 #: passes, shorter than a slow rank takes to be noticed.
 PASSES_S = 0.5
@@ -38,7 +38,7 @@
     """How a rank's own sidecar was last heard."""
 
     route: bytes
-    heard_s: float
+    received_s: float
 
 
 class Group:
@@ -62,13 +62,13 @@
         #: The pass whose hold was last given by another box, and when.
         self.remote_hold = (ranks.NO_VERSION, 0.0)
         #: The step of a change that ranks were told of, and when it began.
-        self.told: tuple[mapchanges.Phase, int, int] | None = None
-        self.phase_s = 0.0
+        self.announced: tuple[mapchanges.Phase, int, int] | None = None
+        self.phase_began_s = 0.0
         #: Maps by version that sidecars may hold, the newest last.
         self.maps: dict[int, ranks.Placed] = {}
         self._holding: set[int] = set()
         self._complete_until_s = 0.0
-        self._looked_s = float('-inf')
+        self._checked_s = float('-inf')
         #: When each of the newest passes was first heard of.
         self._passes: collections.deque[tuple[int, float]] = (
             collections.deque()
@@ -95,7 +95,7 @@
             self._holding.add(state.rank)
         if self.progress is not None:
             self.progress.take(state)
-        self._time_passes(state.step, now_s)
+        self._record_pass(state.step, now_s)
         choices = report.counts
         if choices.parts and self.demand.take(choices, now_s):
             self.outdated = True
@@ -135,7 +135,7 @@
             return report
         return report._replace(experts=before.experts)
 
-    def _time_passes(self, step: int, now_s: float) -> None:
+    def _record_pass(self, step: int, now_s: float) -> None:
         passes = self._passes
         if not passes or step > passes[-1][0]:
             passes.append((step, now_s))
@@ -160,16 +160,16 @@
         """Return whether all ranks are open and have reported of late."""
         if now_s < self._complete_until_s:
             return True
-        if now_s - self._looked_s < LOOK_S:
+        if now_s - self._checked_s < CHECK_INTERVAL_S:
             return False
-        self._looked_s = now_s
+        self._checked_s = now_s
         return self.complete_states(now_s) is not None
 
     def complete_states(self, now_s: float) -> list[ranks.RankState] | None:
         """Return all ranks' states where each has reported of late."""
         if len(self.reports) < self.size:
             return None
-        oldest_s = min(heard_s for _, heard_s in self.reports.values())
+        oldest_s = min(received_s for _, received_s in self.reports.values())
         if now_s - oldest_s >= REPORT_OLD_S:
             return None
         states = [self.reports[rank][0].state for rank in sorted(self.reports)]
@@ -204,11 +204,11 @@
         has_step = self.change.step != ranks.NO_VERSION
         return self.outdated and not has_step and bool(self.change.placed)
 
-    def is_watching(self, rank: int) -> bool:
+    def reports_each_pass(self, rank: int) -> bool:
         """Return whether a rank is to report each pass of a change."""
         return self.is_busy and rank < WATCHING
 
-    def is_counting(self, rank: int) -> bool:
+    def reports_counts(self, rank: int) -> bool:
         """Return whether a rank is to tell its requests' choices."""
         return rank % math.ceil(max(1, self.size) / MOST_COUNTING) == 0
 
@@ -221,7 +221,7 @@
         """Return whether it is known what all ranks hold."""
         return all(self.knows_experts(rank) for rank in self.reports)
 
-    def placed(self) -> ranks.Placed:
+    def current_map(self) -> ranks.Placed:
         """Return the map in use, by set and rank."""
         listed = [
             self.reports[rank][0].experts for rank in sorted(self.reports)
