--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -317,7 +317,7 @@
     group = context.leader.groups.by_name['g']
     group.demand.mean = [1.0 * mapplanning.LEAST_CHOICES]
     planner = context.leader.groups.planner
-    planner._sheet = lambda _: mapplans.Sheet(PLACES, 2, EXPERTS)
+    planner._engine_parameters = lambda _: mapplans.Sheet(PLACES, 2, EXPERTS)
     planner.offload = search
     return group
 
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -43,11 +43,11 @@
         self,
         app: application.Application,
         replica: replicas.Replica,
-        sheet: typing.Callable[[str], mapplans.Sheet | None],
+        engine_parameters: typing.Callable[[str], mapplans.Sheet | None],
     ):
         self.app = app
         self.replica = replica
-        self.planner = mapplanning.Planner(app, replica, sheet)
+        self.planner = mapplanning.Planner(app, replica, engine_parameters)
         self.planner.on_change_begun = lambda group: self._advance(
             group, ranks.NO_VERSION, app.now_s()
         )
--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -48,11 +48,11 @@
         self,
         app: application.Application,
         replica: replicas.Replica,
-        sheet: typing.Callable[[str], mapplans.Sheet | None],
+        engine_parameters: typing.Callable[[str], mapplans.Sheet | None],
     ):
         self.app = app
         self.replica = replica
-        self._sheet = sheet
+        self._engine_parameters = engine_parameters
         #: Runs the search for a plan; a process that serves requests gives
         #: one that runs it in a thread.
         self.offload: typing.Callable = _run_inline
@@ -83,21 +83,21 @@
             group.progress = mapchanges.Progress(found, states)
             logger.info('map change found', **log_fields(found))
             return
-        sheet = self._sheet(instance_id)
+        engine_parameters = self._engine_parameters(instance_id)
         if not may_plan or not group.knows_all_experts():
             return
-        if sheet is None or sum(group.demand.mean) < LEAST_CHOICES:
+        if engine_parameters is None or sum(group.demand.mean) < LEAST_CHOICES:
             return
         group.planning = True
         # A shift that is told during the search makes its plan outdated.
         group.outdated = False
-        self.app.start_task(self._search, group, states, sheet)
+        self.app.start_task(self._search, group, states, engine_parameters)
 
     async def _search(
         self,
         group: rankgroups.Group,
         states: list[ranks.RankState],
-        sheet: mapplans.Sheet,
+        engine_parameters: mapplans.Sheet,
     ) -> None:
         """Look for a map that pays, and begin its change."""
         paces = [state.pace for state in states]
@@ -107,7 +107,7 @@
                 group.current_map(),
                 list(group.demand.mean),
                 paces,
-                sheet,
+                engine_parameters,
             )
             if planned is not None:
                 await self._begin(group, states[0], planned)
