--- a/mountridge/groups/engines.py
+++ b/mountridge/groups/engines.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A model engine over HTTP, as a sidecar speaks with it.
+"""HTTP client of a model engine, used by sidecars.
 
-The project's own form of the calls; an adapter for another platform takes
-`EngineCalls` for the way and brings its own paths and bodies.
+`NativeEngine` implements the project's own API. An adapter for another
+platform reuses `EngineCalls` and supplies its own paths and bodies.
 """
 
 import typing
@@ -21,11 +21,10 @@
     'connect_to',
 ]  # fmt: skip
 
-#: The engine is on the same box and answers within a few milliseconds.
+#: Timeout of a call; the engine is usually on the same box.
 CALL_S = 0.5
-#: An order that is not answered by then is given again; twice does no harm.
-#: Answers took 3 to 10 ms in played days. While a pass is held all ranks wait
-#: for the last one that is armed, so this is short.
+#: Timeout of an order, which is sent again then: orders are idempotent. Short,
+#: since all ranks wait for the last one to be armed while a pass is held.
 ORDER_S = 0.06
 STATE = b'/v1/state'
 COUNTS = b'/v1/counts'
@@ -38,7 +37,7 @@
 
 
 class EngineCalls:
-    """Calls to the engine at one address, with their errors."""
+    """HTTP calls to the engine at one address; maps failures to errors."""
 
     def __init__(self, pool: lasthop.Pool, address: str):
         self._pool = pool
@@ -51,9 +50,9 @@
         body: bytes = b'',
         timeout_s: float = CALL_S,
     ) -> tuple[dialects.ReplyHead, bytes]:
-        """Return the head and body of the answer to one call.
+        """Send one request and return the head and body of the response.
 
-        :raises OutcomeUnknown: none came in time.
+        :raises OutcomeUnknown: there was no response within ``timeout_s``.
         """
         headers = [(b'Host', self._address.encode())]
         if body:
@@ -64,72 +63,78 @@
                 self._address, method, target, headers, body, None
             ) as reply:
                 return reply.head, await reply.whole()
-        raise errors.OutcomeUnknown('no answer in time')
+        raise errors.OutcomeUnknown(
+            f'no response from the engine within {timeout_s} s'
+        )
 
     async def read(
         self, target: bytes, decoder: msgspec.json.Decoder
     ) -> typing.Any:
-        """Return what a GET tells.
+        """Return the decoded body of the response to a GET.
 
-        :raises RunnerFailed: it was refused.
-        :raises BadAnswer: it can't be read.
+        :raises RunnerFailed: the status is not 200.
+        :raises BadAnswer: the body can't be decoded.
         """
         head, body = await self.call(b'GET', target)
         if head.status != 200:
-            raise errors.RunnerFailed(f'answered {head.status}')
+            raise errors.RunnerFailed(f'engine returned status {head.status}')
         try:
             return decoder.decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError) as problem:
             raise errors.BadAnswer(str(problem))
         except RecursionError:
-            raise errors.BadAnswer('an answer nested too deep')
+            raise errors.BadAnswer('response is nested too deeply')
 
     async def send_order(self, target: bytes, body: bytes) -> None:
-        """Give an order.
+        """Send an order.
 
-        :raises RefusedChange: it does not fit the engine's state.
-        :raises OutcomeUnknown: it may be carried out, now or later.
+        :raises RefusedChange: the order does not fit the engine's state.
+        :raises OutcomeUnknown: the order may be carried out, now or later.
         """
         head, answer = await self.call(b'POST', target, body, ORDER_S)
         if head.status >= 500:
-            raise errors.OutcomeUnknown(f'answered {head.status}')
+            raise errors.OutcomeUnknown(
+                f'engine returned status {head.status}'
+            )
         if head.status >= 400:
             reason = answer[:200].decode('latin-1')
-            raise errors.RefusedChange(f'answered {head.status}: {reason}')
+            raise errors.RefusedChange(
+                f'engine returned status {head.status}: {reason}'
+            )
 
 
 def instance_id_from(head: dialects.ReplyHead) -> str:
-    """Return the id of the runner that an answer names.
+    """Return the runner's id from the head of a response.
 
-    :raises BadAnswer: it names none, or what can be none.
+    :raises BadAnswer: the id is missing or invalid.
     """
     wrong = instances.wrong_id(head.instance_id or '')
     if wrong:
-        raise errors.BadAnswer(f'the answer names no runner: {wrong}')
+        raise errors.BadAnswer(f'response has no valid runner id: {wrong}')
     return head.instance_id
 
 
 class NativeEngine:
-    """An engine that speaks the project's own form."""
+    """An engine that implements the project's own API."""
 
     def __init__(self, calls: EngineCalls):
         self._calls = calls
 
     async def state(self) -> ranks.RankState:
-        """Return its state now."""
+        """Return the current state of the engine."""
         return ranks.check_state(await self._calls.read(STATE, _STATE))
 
     async def counts(self) -> list[int]:
-        """Return how often each expert was chosen since its start."""
+        """Return how often each expert was chosen since the engine started."""
         return ranks.check_counts(await self._calls.read(COUNTS, _COUNTS))
 
     async def experts(self) -> list[list[int]]:
-        """Return the experts that it holds, by set of layers."""
+        """Return the experts that the engine holds, by set of layers."""
         held = await self._calls.read(EXPERTS, _EXPERTS)
         return ranks.check_experts(held)
 
     async def instance_id(self) -> str:
-        """Return the id under which its runner is registered."""
+        """Return the id under which the engine's runner is registered."""
         head, _ = await self._calls.call(b'GET', STATE)
         return instance_id_from(head)
 
@@ -139,7 +144,7 @@
 
 
 def connect(app: application.Application) -> NativeEngine:
-    """Return the engine that the settings of ``app`` name."""
+    """Return the engine at the address in the settings of ``app``."""
     return connect_to(app, app.settings['sidecar']['engine'])
 
 
