--- a/mountridge/groups/gates.py
+++ b/mountridge/groups/gates.py
@@ -1,13 +1,13 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The gate of a rank: which expert map it uses in which step.
-
-A new map comes in two phases through the replicated log. *Opened*: the map
-and the step from which it may hold are in the log; a rank that has it ready
-arms, which is a promise not to enter that step, or a later one, without the
-decision. *Closed*: the log holds the decision, for the new map only where
-every rank had armed. A rank that does not know the decision waits at the
-step; its group could not go on without it anyway.
+"""The gate of a rank: decides which expert map it uses in which step.
+
+A new map is adopted in two phases through the replicated log. *Opened*: the
+log holds the map's version and the first step that may use it. A rank that has
+prepared the map arms: it promises not to enter that step or a later one before
+it knows the decision. *Closed*: the log holds the decision, which is for the
+new map only if every rank had armed. A rank that does not know the decision
+waits at the step; its group could not proceed without it anyway.
 """
 
 import typing
@@ -20,7 +20,7 @@
 
 
 class MapState(typing.NamedTuple):
-    """The maps of one group as the log has them."""
+    """The expert maps of one group, as recorded in the log."""
 
     group: str
     #: (first step, version) of the maps that some rank may still need. A
@@ -28,29 +28,31 @@
     #: map of its own step.
     history: tuple[tuple[int, int], ...]
     opened: int  # version that is open, 0 for none
-    open_step: int
+    open_step: int  # first step that may use the open version
     last_opened: int  # the newest version ever opened
 
 
-#: What `Gate.enter` returns while the decision is not known.
+#: Returned by `Gate.enter` while the map of the step is undecided.
 WAIT = -1
-#: Decided maps that are kept for ranks that lag behind.
+#: Maximum number of decided maps kept for ranks that lag behind.
 MAX_HISTORY = 16
 
 
 def initial_state(group: str) -> MapState:
-    """Return the state of a group that has only ever had its first map."""
+    """Return the state of a group that uses its first map."""
     return MapState(group, ((0, 1),), 0, 0, 1)
 
 
-def open_map(state: MapState, step: int, entered: int) -> MapState:
-    """Open the next version for ``step``; unchanged where that can't be.
+def open_map(state: MapState, step: int, min_entered: int) -> MapState:
+    """Open the next version for ``step``.
 
-    ``entered`` is the least step that any rank is known to have entered;
-    maps that no rank can need any more are forgotten.
+    Returns the state unchanged if a version is open already, if ``step`` is
+    not after the first step of the current map, or if the history is full.
+    ``min_entered`` is the lowest step among the newest steps that the ranks
+    are known to have entered; older maps that no rank needs are dropped.
     """
     history = state.history
-    while len(history) > 1 and history[1][0] <= entered:
+    while len(history) > 1 and history[1][0] <= min_entered:
         history = history[1:]
     if state.opened or step <= history[-1][0]:
         return state
@@ -66,7 +68,7 @@
 
 
 def close_map(state: MapState, version: int, accepted: bool) -> MapState:
-    """Decide about the open version; only the first decision counts."""
+    """Record the decision on the open version; only the first one counts."""
     if state.opened != version:
         return state
     closed = state._replace(opened=0, open_step=0)
@@ -78,10 +80,10 @@
 
 
 class Gate:
-    """One rank's knowledge, and the promises that it has given.
+    """One rank's copy of the map state, and the version it has armed for.
 
-    A fresh gate knows nothing and waits until it has heard the log's state
-    from a leader, so a rank that restarts can't enter a step too early.
+    A new gate has no state and waits until it receives the log's state from a
+    leader, so a rank that restarts can't enter a step too early.
     """
 
     def __init__(self) -> None:
@@ -91,21 +93,21 @@
         self.armed = 0  # version armed for, 0 for none
 
     def apply(self, fence: messages.Fence, state: MapState) -> bool:
-        """Take the log's state; false for one older than what is known."""
+        """Apply the log's state; return false if it is outdated."""
         if fence < self.fence:
             return False
         self.fence = fence
         self.state = state
         if self.armed and state.opened != self.armed:
-            # The log holds the decision: the promise is kept.
+            # The log holds the decision, so the promise is fulfilled.
             self.armed = 0
         return True
 
     def arm(self, version: int) -> bool:
-        """Promise to wait at the open map's step; false where too late.
+        """Promise to wait at the open map's step; return false if too late.
 
-        The promise is kept by `enter`: a gate never goes back to a state
-        before the opening, and waits at the step until it is closed.
+        `enter` enforces the promise: a gate never returns to a state from
+        before the opening, and waits at the step until the map is closed.
         """
         state = self.state
         if state is None or not version or state.opened != version:
@@ -116,12 +118,12 @@
         return True
 
     def enter(self, step: int) -> int:
-        """Return the version of the map for ``step``, or `WAIT`."""
+        """Enter ``step`` and return the version of its map, or `WAIT`."""
         state = self.state
         if state is None:
             return WAIT
         if state.opened and step >= state.open_step:
             return WAIT
         self.entered = max(self.entered, step)
-        fit = [v for first, v in state.history if first <= step]
-        return fit[-1]
+        versions = [v for first, v in state.history if first <= step]
+        return versions[-1]
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -354,8 +354,8 @@
     ),
     Mutant(
         'only the newest map known', 'gates',
-        'fit = [v for first, v in state.history if first <= step]',
-        'fit = [state.history[-1][1]]', 'maps',
+        'versions = [v for first, v in state.history if first <= step]',
+        'versions = [state.history[-1][1]]', 'maps',
     ),
     Mutant(
         'moves at any cost', 'maps',
