--- a/mountridge/groups/engines.py
+++ b/mountridge/groups/engines.py
@@ -63,9 +63,7 @@
                 self._address, method, target, headers, body, None
             ) as reply:
                 return reply.head, await reply.whole()
-        raise errors.OutcomeUnknown(
-            f'no response from the engine within {timeout_s} s'
-        )
+        raise errors.OutcomeUnknown('engine did not respond in time')
 
     async def read(
         self, target: bytes, decoder: msgspec.json.Decoder
