--- a/mountridge/groups/gates.py
+++ b/mountridge/groups/gates.py
@@ -48,8 +48,8 @@
 
     Returns the state unchanged if a version is open already, if ``step`` is
     not after the first step of the current map, or if the history is full.
-    ``min_entered`` is the lowest step among the newest steps that the ranks
-    are known to have entered; older maps that no rank needs are dropped.
+    ``min_entered`` is the step that the slowest rank is known to have entered;
+    maps that no rank needs any more are dropped from the history.
     """
     history = state.history
     while len(history) > 1 and history[1][0] <= min_entered:
