--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What the leader knows of one expert-parallel group, by its ranks' reports.
+"""State of one expert-parallel group on the leader, from its ranks' reports.
 
-What a report costs does not grow with the ranks, but where a change begins
-or a pass is chosen: at 192 ranks some 1,000 reports come a second while maps
-change, of which each took 0.1 ms when it looked at all ranks.
+The cost of handling a report does not depend on the number of ranks, except
+when a change begins or the step for a new map is chosen: large groups send
+many reports per second, most of them while a map changes.
 """
 
 import collections
@@ -18,50 +18,50 @@
 
 __all__ = ['Contact', 'Group']
 
-#: A rank that has not reported for this long is unknown; nothing is begun.
+#: A rank whose last report is older than this is unknown; while one is, no
+#: change begins or proceeds.
 REPORT_OLD_S = 2.0
-#: Between two looks at all ranks of a group of which some are not known.
+#: Least time between two checks of all ranks of an incomplete group.
 CHECK_INTERVAL_S = 0.02
-#: Span of the passes by which the length of one is told. Longer than some
-#: passes, shorter than a slow rank takes to be noticed.
+#: Window of recent forward passes over which their duration is averaged;
+#: longer than one pass, short enough to notice a slow rank soon.
 PASSES_S = 0.5
-#: Ranks of a group that tell which experts their requests choose. What is
-#: asked for is a matter of all requests alike, and counts are most of a
-#: report's bytes: 3.8 KB at 10 sets of 384 experts. On groups of 12 and 16
-#: ranks, which all tell theirs, every shift of played days was told.
+#: Maximum number of ranks of a group that report counts. Requests to all ranks
+#: choose experts alike, and counts are most of a report's bytes.
 MOST_COUNTING = 16
-#: Ranks whose reports tell the newest pass while a change is under way.
+#: Number of ranks that report each pass while a change is in progress.
 WATCHING = 2
 
 
 class Contact(typing.NamedTuple):
-    """How a rank's own sidecar was last heard."""
+    """The route to a rank's sidecar, and the time of its last report."""
 
     route: bytes
     received_s: float
 
 
 class Group:
-    """One group: its ranks' newest reports, counts, and the change."""
+    """The newest reports of a group's ranks, its demand and its map change."""
 
     def __init__(self) -> None:
+        #: By rank, with the time at which each was received.
         self.reports: dict[int, tuple[messages.RankReport, float]] = {}
-        #: Of ranks that have reported in this epoch.
+        #: By rank, of sidecars that have reported in this epoch.
         self.contacts: dict[int, Contact] = {}
-        #: Ranks whose own sidecars were late, and have not been heard since.
+        #: Ranks whose sidecars were overdue and have not reported since.
         self.unresponsive: set[int] = set()
         self.epoch = ranks.NO_VERSION
         self.size = 0
         self.demand = demand.Demand()
         self.progress: mapchanges.Progress | None = None
-        #: No plan is looked for before that.
+        #: Earliest time of the next search for a plan.
         self.next_plan_s = 0.0
-        #: Whether demand has shifted since the change under way was planned.
+        #: Whether demand has shifted since the current change was planned.
         self.outdated = False
         self.planning = False
-        #: The pass whose hold was last given by another box, and when.
+        #: Step of the last hold that another box was to order, and when.
         self.remote_hold = (ranks.NO_VERSION, 0.0)
-        #: The step of a change that ranks were told of, and when it began.
+        #: Phase, version and step last announced to the ranks, and when.
         self.announced: tuple[mapchanges.Phase, int, int] | None = None
         self.phase_began_s = 0.0
         #: Maps by version that sidecars may hold, the newest last.
@@ -69,18 +69,18 @@
         self._holding: set[int] = set()
         self._complete_until_s = 0.0
         self._checked_s = float('-inf')
-        #: When each of the newest passes was first heard of.
+        #: Recent passes, with the time at which each was first reported.
         self._passes: collections.deque[tuple[int, float]] = (
             collections.deque()
         )
 
     @property
     def change(self) -> mapchanges.Change | None:
-        """The change under way."""
+        """The change in progress, if any."""
         return self.progress.change if self.progress else None
 
     def record_report(self, report: messages.RankReport, now_s: float) -> None:
-        """Take one rank's report."""
+        """Apply one rank's report; ignore it if it is of an older epoch."""
         state = report.state
         if state.epoch < self.epoch:
             return
@@ -109,31 +109,31 @@
         self.contacts.clear()
         self.unresponsive.clear()
         self._holding.clear()
-        # What is asked for outlives the map, so that the first change
-        # of the new epoch is planned as soon as the group is open.
+        # Demand is kept, so that the first change of the new epoch can be
+        # planned as soon as the group is open.
         self.progress = None
         self._passes.clear()
         self._complete_until_s = 0.0
 
     def record_contact(self, rank: int, route: bytes, now_s: float) -> None:
-        """Note that a rank's own sidecar was heard."""
+        """Record that a rank's own sidecar has reported."""
         self.contacts[rank] = Contact(route, now_s)
         self.unresponsive.discard(rank)
 
     def _with_experts(
         self, report: messages.RankReport
     ) -> messages.RankReport:
-        """Add to a report what the rank has told of its experts before."""
+        """Return a report completed by the experts reported earlier."""
         known = self.reports.get(report.state.rank)
         if report.experts or known is None:
             return report
-        before = known[0]
-        if before.state.map_version != report.state.map_version:
+        previous = known[0]
+        if previous.state.map_version != report.state.map_version:
             return report
-        if before.state.born_ms != report.state.born_ms:
-            # A new life holds nothing of what the former one held.
+        if previous.state.born_ms != report.state.born_ms:
+            # A restarted engine no longer holds what it held before.
             return report
-        return report._replace(experts=before.experts)
+        return report._replace(experts=previous.experts)
 
     def _record_pass(self, step: int, now_s: float) -> None:
         passes = self._passes
@@ -144,20 +144,24 @@
 
     @property
     def newest_step(self) -> int:
-        """The newest pass of which a rank has told."""
+        """The newest pass that a rank has reported."""
         return self._passes[-1][0] if self._passes else 0
 
     def pass_s(self, now_s: float) -> float:
-        """Return how long a pass takes, by the newest ones."""
+        """Return the duration of a forward pass, from recent ones."""
         if len(self._passes) < 2:
             return mapchanges.USUAL_PASS_S
         (first, first_s), (last, last_s) = self._passes[0], self._passes[-1]
-        lasted_s = (last_s - first_s) / (last - first)
-        # The pass under way may be the first slow one.
-        return max(lasted_s, now_s - last_s, mapchanges.USUAL_PASS_S / 4)
+        mean_s = (last_s - first_s) / (last - first)
+        # The current pass may be the first slow one.
+        return max(mean_s, now_s - last_s, mapchanges.USUAL_PASS_S / 4)
 
     def is_complete(self, now_s: float) -> bool:
-        """Return whether all ranks are open and have reported of late."""
+        """Return whether all ranks are open and have reported recently.
+
+        While the group is incomplete the ranks are checked at intervals only,
+        so it may be noticed late that it is complete again.
+        """
         if now_s < self._complete_until_s:
             return True
         if now_s - self._checked_s < CHECK_INTERVAL_S:
@@ -166,7 +170,7 @@
         return self.complete_states(now_s) is not None
 
     def complete_states(self, now_s: float) -> list[ranks.RankState] | None:
-        """Return all ranks' states where each has reported of late."""
+        """Return all ranks' states, by rank, None if incomplete."""
         if len(self.reports) < self.size:
             return None
         oldest_s = min(received_s for _, received_s in self.reports.values())
@@ -180,22 +184,22 @@
 
     @property
     def has_held_pass(self) -> bool:
-        """Return whether some rank keeps a pass from beginning."""
+        """Whether some rank prevents a pass from beginning."""
         return bool(self._holding)
 
     @property
     def is_busy(self) -> bool:
-        """Return whether a change is near or under way."""
+        """Whether a change is in progress, being planned or expected soon."""
         return (
             self.change is not None or self.planning or self.demand.is_shifting
         )
 
     @property
     def accepts_new_change(self) -> bool:
-        """Return whether a new change may begin.
+        """Whether a new change may begin.
 
-        A change whose copies are under way gives way to one that fits what
-        is asked for since; once a pass is held for it, it goes on.
+        If demand has shifted, a change that is still copying experts may be
+        replaced by a new one. Once a pass has been chosen for it, it may not.
         """
         if self.planning:
             return False
@@ -205,25 +209,25 @@
         return self.outdated and not has_step and bool(self.change.placed)
 
     def reports_each_pass(self, rank: int) -> bool:
-        """Return whether a rank is to report each pass of a change."""
+        """Return whether a rank has to report each pass now."""
         return self.is_busy and rank < WATCHING
 
     def reports_counts(self, rank: int) -> bool:
-        """Return whether a rank is to tell its requests' choices."""
+        """Return whether a rank has to report which experts are chosen."""
         return rank % math.ceil(max(1, self.size) / MOST_COUNTING) == 0
 
     def knows_experts(self, rank: int) -> bool:
-        """Return whether it is known what a rank holds now."""
+        """Return whether the experts that a rank holds now are known."""
         known = self.reports.get(rank)
         return known is not None and bool(known[0].experts)
 
     def knows_all_experts(self) -> bool:
-        """Return whether it is known what all ranks hold."""
+        """Return whether the experts of all reporting ranks are known."""
         return all(self.knows_experts(rank) for rank in self.reports)
 
     def current_map(self) -> ranks.Placed:
-        """Return the map in use, by set and rank."""
-        listed = [
+        """Return the map in use, by set of layers and rank."""
+        by_rank = [
             self.reports[rank][0].experts for rank in sorted(self.reports)
         ]
-        return [list(by_set) for by_set in zip(*listed)]
+        return [list(ranks_of_set) for ranks_of_set in zip(*by_rank)]
