--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -170,7 +170,7 @@
         return self.complete_states(now_s) is not None
 
     def complete_states(self, now_s: float) -> list[ranks.RankState] | None:
-        """Return all ranks' states, by rank, None if incomplete."""
+        """Return all ranks' states in rank order; None if incomplete."""
         if len(self.reports) < self.size:
             return None
         oldest_s = min(received_s for _, received_s in self.reports.values())
