--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""When a group's map is planned anew, and how a plan becomes a change."""
+"""Decides when to plan a new expert map for a group, and starts its change."""
 
 import typing
 
@@ -14,16 +14,15 @@
 
 __all__ = ['PAUSE_S', 'Planner', 'log_fields']
 
-#: Least time between the end of a change and the next plan.
+#: Minimum time between the end of a change and the next search for a plan.
 PAUSE_S = 0.05
-#: And after a search that found none that pays. A search keeps the leader's
-#: core for 0.02 s at 12 ranks and 0.1 s at 192; demand is known a little
-#: better with each span of 0.2 s.
+#: Minimum time between a search that found no better map and the next one. A
+#: search uses the leader's CPU, and demand changes little in less time.
 FUTILE_S = 0.25
-#: Work seen since demand shifted, in choices of an expert, below which no
-#: plan is made: an idle group gains nothing from one.
+#: Expert choices counted since the last shift of demand, below which no search
+#: is made: an idle group gains nothing from a new map.
 LEAST_CHOICES = 10000
-#: Newest maps that are kept, since sidecars build the next one on them.
+#: Number of maps kept as bases for packing later ones.
 KEPT_MAPS = 3
 
 
@@ -32,7 +31,7 @@
 
 
 def log_fields(change: mapchanges.Change) -> dict[str, typing.Any]:
-    """Return the fields of a log line on a change."""
+    """Return the log fields that identify a change."""
     return {
         'group': change.group,
         'epoch': change.epoch,
@@ -42,7 +41,7 @@
 
 
 class Planner:
-    """Looks for maps that pay, and begins their changes."""
+    """Searches for better maps, and starts the changes to them."""
 
     def __init__(
         self,
@@ -53,10 +52,10 @@
         self.app = app
         self.replica = replica
         self._engine_parameters = engine_parameters
-        #: Runs the search for a plan; a process that serves requests gives
-        #: one that runs it in a thread.
+        #: Runs the search for a plan. A process that serves requests sets one
+        #: that runs it in a thread.
         self.offload: typing.Callable = _run_inline
-        #: Called when a change has begun, so that its orders go out at once.
+        #: Called when a change has begun, to send its first orders at once.
         self.on_change_begun: typing.Callable[[rankgroups.Group], None] = (
             lambda group: None
         )
@@ -64,11 +63,11 @@
     def consider_change(
         self, instance_id: str, group: rankgroups.Group, now_s: float
     ) -> None:
-        """Begin a change where one was left under way, or look for one.
+        """Resume a change left by another leader, or search for a new one.
 
-        The search runs beside: the report that gave rise to it is answered
-        at once. A search may take longer than a sidecar waits for an answer,
-        0.4 s, and would then look like a leader that is gone.
+        The search runs as a task of its own, so that the report that triggered
+        it is answered at once: a search may take longer than a sidecar waits
+        for the answer before it takes the leader for lost.
         """
         may_plan = now_s >= group.next_plan_s and group.demand.is_settled
         if not (may_plan or group.has_held_pass) or not group.is_complete(
@@ -81,7 +80,7 @@
         found = mapchanges.find_change(states)
         if found is not None and group.change is None:
             group.progress = mapchanges.Progress(found, states)
-            logger.info('map change found', **log_fields(found))
+            logger.info('map change resumed', **log_fields(found))
             return
         engine_parameters = self._engine_parameters(instance_id)
         if not may_plan or not group.knows_all_experts():
@@ -89,7 +88,7 @@
         if engine_parameters is None or sum(group.demand.mean) < LEAST_CHOICES:
             return
         group.planning = True
-        # A shift that is told during the search makes its plan outdated.
+        # A shift detected during the search makes its plan outdated.
         group.outdated = False
         self.app.start_task(self._search, group, states, engine_parameters)
 
@@ -99,7 +98,7 @@
         states: list[ranks.RankState],
         engine_parameters: mapplans.Sheet,
     ) -> None:
-        """Look for a map that pays, and begin its change."""
+        """Search for a better map, and start the change to it if found."""
         paces = [state.pace for state in states]
         try:
             planned = await self.offload(
@@ -112,8 +111,8 @@
             if planned is not None:
                 await self._begin(group, states[0], planned)
         except errors.MountridgeError as problem:
-            # Another leader plans from now on, or this one plans again.
-            logger.info('no change begun', reason=str(problem))
+            # Either another leader plans now, or this one retries later.
+            logger.info('map change not started', reason=str(problem))
         finally:
             group.planning = False
             if group.change is None and not group.outdated:
@@ -125,7 +124,7 @@
         state: ranks.RankState,
         planned: mapplans.Planned,
     ) -> None:
-        """Give a plan its version, which no other plan ever has."""
+        """Start the change to a planned map, under a new unique version."""
         command = commands.NextVersion(self.app.wall_s())
         version = await self.replica.propose(commands.encode(command))
         change = group.change
