--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -17,12 +17,12 @@
 #: Minimum time between the end of a change and the next search for a plan.
 PAUSE_S = 0.05
 #: Minimum time between a search that found no better map and the next one. A
-#: search uses the leader's CPU, and demand changes little in less time.
+#: search takes CPU time on the leader; the demand estimate improves slowly.
 FUTILE_S = 0.25
 #: Expert choices counted since the last shift of demand, below which no search
 #: is made: an idle group gains nothing from a new map.
 LEAST_CHOICES = 10000
-#: Number of maps kept as bases for packing later ones.
+#: Number of newest maps kept, as bases for packing later ones.
 KEPT_MAPS = 3
 
 
