--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The leader's part in expert-parallel groups: plans, orders, loads.
+"""Expert-parallel groups on the leading controller: plans, orders, loads.
 
-Sidecars report their ranks when something of a change has changed there, and
-else now and then. When the last rank that a step waits for has reported, the
-next orders go out at once to all ranks; the answer to a report carries the
-rank's order too, so that a lost one comes again. All of it is memory of the
-leader: a new one knows the same after a round of reports.
+Sidecars report their ranks at an interval, and at once when a rank's state in
+a map change differs. When the last rank that a phase waits for has reported,
+the orders of the next phase are pushed to all ranks at once. The answer to
+each report carries the rank's order too, so that a lost order is sent again.
+All state is in memory: a new leader rebuilds it from one round of reports.
 """
 
 import typing
@@ -20,24 +20,22 @@
 
 __all__ = ['Groups']
 
-#: A hold that another box gives shows in the rank's report within two or
-#: three of the 0.025 s between reports; past this the rank's own box gives it.
+#: How long a hold sent by another box may take to appear in the rank's report,
+#: some report intervals; after that the order goes to the rank's own sidecar.
 REMOTE_HOLD_S = 0.15
-#: Ranks that may all report at the interval of the settings.
+#: Up to this many ranks all report at the interval of the settings.
 FEW_RANKS = 32
-#: Interval of reports of more ranks: of those that tell counts, so that a
-#: shift is told within two spans of `demand`, and of the others, whose loads
-#: gateways know from their own answers too. 192 ranks make 430 reports a
-#: second then instead of 1,600.
+#: Report intervals with more ranks: of ranks that report counts, short enough
+#: to detect a shift of demand soon, and of the others, whose loads gateways
+#: also learn from the ranks' responses.
 COUNTS_INTERVAL_S = 0.2
 NO_COUNTS_INTERVAL_S = 0.5
-#: Packed forms of maps that are kept: of the newest, for the few versions
-#: that sidecars hold.
+#: Number of packed maps cached, by version and base.
 KEPT_PACKED = 6
 
 
 class Groups:
-    """All groups that have reported in this leader's term."""
+    """The groups whose ranks have reported in this leader's term."""
 
     def __init__(
         self,
@@ -51,11 +49,11 @@
         self.planner.on_change_begun = lambda group: self._advance(
             group, ranks.NO_VERSION, app.now_s()
         )
-        #: Lets another box give an order; tells whether one was found.
+        #: Has another box send an order; returns whether one was found.
         self.send_remote_order: typing.Callable[
             [messages.RemoteOrder], bool
         ] = lambda _: False
-        #: Start of the life that is registered of a runner; 0: not told.
+        #: Start time of a runner as registered, by its id; 0 if unknown.
         self.registered_start_ms: typing.Callable[[str], int] = (
             lambda instance_id: 0
         )
@@ -65,35 +63,38 @@
         self._packed: dict[tuple[int, int], mapdeltas.PackedMap] = {}
 
     def begin_term(self) -> None:
-        """Forget what an earlier term was told."""
+        """Discard the state of an earlier term."""
         self.by_name.clear()
         self._loads.clear()
         self._packed.clear()
 
     def pop_loads(self) -> list[messages.RunnerLoad]:
-        """Return the loads that were reported since the last call."""
-        told = list(self._loads.values())
+        """Return and clear the loads reported since the last call."""
+        loads = list(self._loads.values())
         self._loads.clear()
-        return told
+        return loads
 
     # Reports.
 
     def on_report(
         self, peer, report: messages.RankReport
     ) -> messages.RankReply:
-        """Take a report and answer with the rank's next order."""
+        """Handle a sidecar's report; return the reply with the next order.
+
+        :raises NotLeader: this controller does not lead.
+        """
         self.replica.check_leader()
         self.app.metrics.incr('rank.reports')
         now_s = self.app.now_s()
         state = report.state
-        group = self._take(report, now_s)
+        group = self._handle_report(report, now_s)
         term = self.replica.node.term
         if group is None:
             return messages.RankReply(
                 term, None, mapdeltas.NO_MAP, 0.0, False, False, False
             )
         if state.epoch == group.epoch:
-            # A late report of an epoch that is over tells nothing of a rank.
+            # A delayed report of an earlier epoch is no sign of the rank.
             group.record_contact(state.rank, peer.route, now_s)
         order = self._order_for(group, report, now_s)
         return messages.RankReply(
@@ -109,18 +110,27 @@
     def on_remote_report(
         self, report: messages.RankReport
     ) -> ranks.RankOrder | None:
-        """Take what this process has read of a rank itself."""
+        """Handle a report that this process read from an engine itself.
+
+        Returns the order for the rank, if any.
+
+        :raises NotLeader: this controller does not lead.
+        """
         self.replica.check_leader()
         now_s = self.app.now_s()
-        group = self._take(report, now_s)
+        group = self._handle_report(report, now_s)
         return group and self._order_for(group, report, now_s)
 
-    def _take(
+    def _handle_report(
         self, report: messages.RankReport, now_s: float
     ) -> rankgroups.Group | None:
+        """Record a report and advance the change of the rank's group.
+
+        Returns None if the rank is in no group or the report is outdated.
+        """
         state = report.state
         if 0 < state.born_ms < self.registered_start_ms(report.instance_id):
-            # It was under way when the runner started again.
+            # It was sent before the runner's last restart.
             self.app.metrics.incr('rank.reports.former')
             return None
         group = None
@@ -143,7 +153,7 @@
         return group
 
     def _report_interval_s(self, group: rankgroups.Group, rank: int) -> float:
-        """Return how long a rank may rest between reports; 0 for usual."""
+        """Return a rank's report interval; 0 for that of the settings."""
         known = sum(len(each.reports) for each in self.by_name.values())
         if known <= FEW_RANKS:
             return 0.0
@@ -156,12 +166,13 @@
     def unresponsive_ranks(
         self, after_s: float, now_s: float
     ) -> list[messages.RankReport]:
-        """Return the last reports of ranks whose sidecars are silent.
+        """Return the last reports of ranks with unresponsive sidecars.
 
-        Each had one in this term. One that rests between its reports is
-        silent where it is later than that, or has left an order without a
-        report. Where no change is under way, no newer word of the rank has
-        come from elsewhere either.
+        Only sidecars that have reported in this term are considered. A sidecar
+        is unresponsive if, ``after_s`` after its last report, the rank's next
+        report is overdue by ``after_s``, or the current phase of a change has
+        waited for the rank for longer than that. It remains so until it
+        reports again.
         """
         return [
             report
@@ -172,19 +183,19 @@
     def _unresponsive_in(
         self, group: rankgroups.Group, after_s: float, now_s: float
     ) -> typing.Iterator[messages.RankReport]:
-        asked: set[int] = set()
+        awaited: set[int] = set()
         if (
             group.progress is not None
             and now_s - group.phase_began_s > after_s
         ):
-            asked.update(group.progress.waiting_for())
+            awaited.update(group.progress.waiting_for())
         for rank, contact in group.contacts.items():
             if now_s - contact.received_s <= after_s:
                 continue
             report, received_s = group.reports[rank]
-            late_s = after_s + self._report_interval_s(group, rank)
-            if rank in asked or now_s - received_s > late_s:
-                # Until it is heard again, not only for this step.
+            overdue_s = after_s + self._report_interval_s(group, rank)
+            if rank in awaited or now_s - received_s > overdue_s:
+                # Until its sidecar reports again, not only for this phase.
                 group.unresponsive.add(rank)
             if rank in group.unresponsive:
                 yield report
@@ -194,9 +205,9 @@
     def _advance(
         self, group: rankgroups.Group, reporter: int, now_s: float
     ) -> None:
-        """Tell ranks what to do where a change goes on to its next step.
+        """Advance a group's change; push the orders of a new phase or step.
 
-        The rank that reports gets its order with the answer.
+        The rank ``reporter`` gets its order with the answer to its report.
         """
         progress = group.progress
         if progress is None or not group.is_complete(now_s):
@@ -216,7 +227,7 @@
     def _push_orders(
         self, group: rankgroups.Group, except_rank: int, now_s: float
     ) -> None:
-        """Send its order to each rank that a change waits for."""
+        """Push orders to the ranks that a change waits for, except one."""
         for rank in group.progress.waiting_for():
             contact = group.contacts.get(rank)
             if rank == except_rank or contact is None:
@@ -239,7 +250,7 @@
         report: messages.RankReport,
         now_s: float,
     ) -> ranks.RankOrder | None:
-        """Return the order for a rank, None where it is to follow none."""
+        """Return the order that a rank's sidecar is to carry out, if any."""
         progress = group.progress
         if progress is None or not group.is_complete(now_s):
             return None
@@ -255,14 +266,15 @@
         order: ranks.RankOrder,
         now_s: float,
     ) -> ranks.RankOrder | None:
-        """Let another box hold the pass; return the order where none does.
+        """Have another box send a hold; return the order if none can.
 
-        Whoever holds a pass may be lost right after. If that is the box of
-        the rank itself, nobody can reach the rank to let the pass go.
+        The box that sends a hold may fail right after. If it were the rank's
+        own box, no sidecar could reach the rank to release the held pass. The
+        order is also returned if the hold has not appeared in time.
         """
-        step, given_s = group.remote_hold
+        step, sent_s = group.remote_hold
         if order.step == step:
-            return order if now_s - given_s > REMOTE_HOLD_S else None
+            return order if now_s - sent_s > REMOTE_HOLD_S else None
         remote = messages.RemoteOrder(report.instance_id, order)
         if not self.send_remote_order(remote):
             return order
@@ -275,7 +287,10 @@
         order: ranks.RankOrder | None,
         known: int,
     ) -> mapdeltas.PackedMap:
-        """Return the map of an order, as it differs from a known one."""
+        """Return the map of an order, packed against the map ``known``.
+
+        The whole map is packed if this leader does not have ``known``.
+        """
         if order is None or order.kind != ranks.PREPARE:
             return mapdeltas.NO_MAP
         base = known if known in group.maps else ranks.NO_VERSION
