--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -169,9 +169,10 @@
         """Return the last reports of ranks with unresponsive sidecars.
 
         Only sidecars that have reported in this term are considered. A sidecar
-        is unresponsive if, ``after_s`` after its last report, the rank's next
-        report is overdue by ``after_s``, or the current phase of a change has
-        waited for the rank for longer than that. It remains so until it
+        is unresponsive if it has not reported for ``after_s`` and either the
+        rank's newest report, which this process may have read itself, is older
+        than the report interval plus ``after_s``, or the current phase of a
+        change has waited for the rank for ``after_s``. It remains so until it
         reports again.
         """
         return [
@@ -269,7 +270,7 @@
         """Have another box send a hold; return the order if none can.
 
         The box that sends a hold may fail right after. If it were the rank's
-        own box, no sidecar could reach the rank to release the held pass. The
+        own box, nothing could reach the rank to release the held pass. The
         order is also returned if the hold has not appeared in time.
         """
         step, sent_s = group.remote_hold
