--- a/features/closedgroups.feature
+++ b/features/closedgroups.feature
@@ -1,76 +1,77 @@
 Feature: Requests to expert-parallel groups that are not open
 
-  After a loss of all boxes, or of one rank, a group refuses for seconds. Each
-  gateway learns it from one refusal, and no request uses up its tries.
+  After an outage of all boxes, or of one rank, a group refuses requests for
+  seconds. A gateway learns it from one refusal, so that requests don't use up
+  their attempts.
 
   Background:
     Given 2 groups of 4 ranks with 5 slots each
 
-  Scenario: A rank that refuses with room closes its group and no other
-    When a rank of group 1 refuses with 0 requests there
+  Scenario: A rank that refuses with free slots closes its group and no other
+    When a rank of group 1 refuses while it has 0 requests
     Then requests go to group 2 only
 
-  Scenario: A rank that refuses since it is full closes nothing
-    When a rank of group 1 refuses with 5 requests there
+  Scenario: A rank that refuses because it is full closes no group
+    When a rank of group 1 refuses while it has 5 requests
     Then requests go to both groups
 
-  Scenario Outline: <after_s> s after a refusal by both, <who> <may>
-    When a rank of group 1 refuses with 0 requests there
-    And a rank of group 2 refuses with 0 requests there
-    And <after_s> s go by
-    Then <who> <may>
+  Scenario Outline: <after_s> s after refusals by both groups, <request> <result>
+    When a rank of group 1 refuses while it has 0 requests
+    And a rank of group 2 refuses while it has 0 requests
+    And <after_s> s pass
+    Then <request> <result>
 
     Examples:
-      | who                         | after_s | may             |
-      | a request without a try     | 0.25    | finds no runner |
-      | a request without a try     | 0.35    | finds a runner  |
-      | a request that was refused  | 0.35    | finds no runner |
-      | a request that was refused  | 3       | finds no runner |
+      | request           | after_s | result          |
+      | a new request     | 0.25    | finds no runner |
+      | a new request     | 0.35    | finds a runner  |
+      | a refused request | 0.35    | finds no runner |
+      | a refused request | 3       | finds no runner |
 
-  Scenario Outline: <sign> lets those try again that were refused
-    When a rank of group 1 refuses with 0 requests there
-    And a rank of group 2 refuses with 0 requests there
-    And <sign> 0.1 s later
-    Then a request that was refused finds a runner
-    And those that wait were woken
+  Scenario Outline: Refused requests are retried once <event>
+    When a rank of group 1 refuses while it has 0 requests
+    And a rank of group 2 refuses while it has 0 requests
+    And <event> 0.1 s later
+    Then a refused request finds a runner
+    And waiting requests are woken
 
     Examples:
-      | sign                            |
-      | a report of an open rank comes  |
-      | a rank takes a request          |
+      | event                              |
+      | a report of an open rank arrives   |
+      | a rank accepts a request           |
 
-  Scenario Outline: After a report of <age_s> s ago that all are closed a request <told>
+  Scenario Outline: <age_s> s after reports that all ranks are closed, a new request <result>
     When all ranks of both groups report that they are closed
-    And <age_s> s go by
-    Then a request without a try <told>
+    And <age_s> s pass
+    Then a new request <result>
 
     Examples:
-      | age_s | told            |
+      | age_s | result          |
       | 1     | finds no runner |
       | 2     | finds a runner  |
 
-  Scenario: How long all are closed is told anew each time
+  Scenario: The time for which all groups are closed restarts at each closure
     When all ranks of both groups report that they are closed
-    And 3 s go by
+    And 3 s pass
     And all ranks of both groups report that they are open
-    And 50 s go by
+    And 50 s pass
     And all ranks of both groups report that they are closed
-    Then all are closed for 0 s
+    Then all groups have been closed for 0 s
 
-  Scenario: One request finds out whether the ranks of a first view are there
-    Given a gateway that has just learnt of 4 ranks
-    When a request is on its way to one of them
-    Then others are to wait for what becomes of it
-    And they need not once a report has come
+  Scenario: One request probes the ranks of a gateway's first view
+    Given a gateway that has just received a view of 4 ranks
+    When a request is in progress on one of them
+    Then other requests have to wait for its outcome
+    And they need not wait once a report has arrived
 
-  Scenario Outline: The wave after a start of <what>
-    Given 15 gateways and 13 ranks, of a view that is <view>
-    When callers come while the group opens <opens_s> s later
-    Then all are served, none with a third try
-    And the ranks refuse at most 6 times a gateway
+  Scenario Outline: Requests during a start of <what>
+    Given 15 gateways with an <view> view of 13 ranks
+    When callers send requests and the group opens <opens_s> s later
+    Then all requests are served, none with a third attempt
+    And the ranks refuse at most 6 requests per gateway
 
     Examples:
-      | what           | view                       | opens_s |
-      | all processes  | right                      | 0.0     |
-      | all boxes      | older than all the ranks   | 0.9     |
-      | the ranks only | right                      | 0.7     |
+      | what           | view     | opens_s |
+      | all processes  | accurate | 0.0     |
+      | all boxes      | outdated | 0.9     |
+      | the ranks only | accurate | 0.7     |
--- a/features/steps/closedgroups_steps.py
+++ b/features/steps/closedgroups_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on groups that refuse requests, as gateways see them."""
+"""Steps on gateways that route requests to groups that refuse them."""
 
 import random
 import types
@@ -14,16 +14,15 @@
 from mountridge.routing import backends, picking
 
 SLOTS = 5
-#: From a request to a refusal by its rank, and from a change of the group to
-#: its report at the gateways.
-REFUSED_S, REPORT_S = 0.004, 0.15
+#: From a request to its refusal by a rank, and from a change of the group's
+#: state to its report at the gateways.
+REFUSAL_S, REPORT_S = 0.004, 0.15
 #: From a request to its first event.
-FIRST_S = 0.17
-#: When gateways learn of the ranks that stand where those of their first view
-#: stood, and the number of the first of these.
-NEW_S, FRESH = 0.5, 100
-#: Requests that a gateway finds waiting, and more a second for a while.
-WAITING, RATE, SPAN_S = 5, 15.0, 0.8
+FIRST_EVENT_S = 0.17
+#: When an outdated view is updated, and the number of the first of its ranks.
+VIEW_UPDATE_S, FIRST_NEW_RANK = 0.5, 100
+#: Requests per gateway at its start, and then per second for some time.
+INITIAL_REQUESTS, REQUESTS_PER_S, DURATION_S = 5, 15.0, 0.8
 
 
 def _rank(number):
@@ -53,23 +52,23 @@
         context.known.report(load, context.now_s)
 
 
-def _pick(context, tried=frozenset(), seed=1):
+def _pick(context, attempted=frozenset(), seed=1):
     rng = random.Random(seed)
     return context.known.pick(
-        's', 'h0', set(tried), 1, rng, context.now_s, bool(tried)
+        's', 'h0', set(attempted), 1, rng, context.now_s, bool(attempted)
     )
 
 
-@when('a rank of group {group:d} refuses with {there:d} requests there')
-def refuse(context, group, there):
+@when('a rank of group {group:d} refuses while it has {running:d} requests')
+def refuse(context, group, running):
     backend = context.known.by_id[f'i-{(group - 1) * context.ranks}']
     context.now_s += 0.01
-    backend.heard(there, 0, context.now_s)
+    backend.heard(running, 0, context.now_s)
     context.changed = context.known.changed
     context.known.refused(backend, context.now_s)
 
 
-@when('{after_s:g} s go by')
+@when('{after_s:g} s pass')
 def wait(context, after_s):
     context.now_s += after_s
 
@@ -80,14 +79,14 @@
     context.known.closed_for_s('s', context.now_s)
 
 
-@when('a report of an open rank comes 0.1 s later')
+@when('a report of an open rank arrives 0.1 s later')
 def report_open(context):
     context.now_s += 0.1
     context.known.report(_load(1, 1, True), context.now_s)
 
 
-@when('a rank takes a request 0.1 s later')
-def take(context):
+@when('a rank accepts a request 0.1 s later')
+def accept(context):
     context.now_s += 0.1
     context.known.accepted(context.known.by_id['i-1'], context.now_s)
 
@@ -104,61 +103,61 @@
     assert found == {1, 2}, found
 
 
-@then('a request without a try finds {found} runner')
-def without_try(context, found):
+@then('a new request finds {found} runner')
+def check_new_request(context, found):
     assert (_pick(context) is not None) == (found == 'a')
 
 
-@then('a request that was refused finds {found} runner')
-def with_try(context, found):
+@then('a refused request finds {found} runner')
+def check_refused_request(context, found):
     picked = _pick(context, {'i-0'})
     assert (picked is not None) == (found == 'a')
 
 
-@then('those that wait were woken')
+@then('waiting requests are woken')
 def woken(context):
     assert context.changed.is_set()
 
 
-@then('all are closed for {span_s:g} s')
+@then('all groups have been closed for {span_s:g} s')
 def closed_for(context, span_s):
     assert context.known.closed_for_s('s', context.now_s) == span_s
 
 
-@given('a gateway that has just learnt of {count:d} ranks')
-def fresh_gateway(context, count):
+@given('a gateway that has just received a view of {count:d} ranks')
+def new_gateway(context, count):
     context.now_s = 100.0
     context.known = backends.Backends('g-0')
     context.known.follow([_rank(number) for number in range(count)])
     assert not context.known.is_proving('s')
 
 
-@when('a request is on its way to one of them')
-def under_way(context):
+@when('a request is in progress on one of them')
+def begin_request(context):
     _pick(context).backend.began(context.now_s)
 
 
-@then('others are to wait for what becomes of it')
-def others_wait(context):
+@then('other requests have to wait for its outcome')
+def check_others_wait(context):
     assert context.known.is_proving('s')
 
 
-@then('they need not once a report has come')
-def report_frees(context):
+@then('they need not wait once a report has arrived')
+def check_report_ends_wait(context):
     context.known.report(_load(3, 1, True), context.now_s)
     assert not context.known.is_proving('s')
 
 
-class _Wave:
-    """Gateways that start before ranks whose group is not open yet."""
+class _Start:
+    """Gateways that get requests while the group of their ranks starts."""
 
-    def __init__(self, gateways, ranks, is_stale):
+    def __init__(self, gateways, ranks, is_outdated):
         self.ranks = ranks
-        self.is_stale = is_stale
+        self.is_outdated = is_outdated
         self.rng = random.Random(7)
         self.opens_s = 0.0
-        self.asked = self.served = 0
-        self.most_tries = 0
+        self.requests = self.served = 0
+        self.most_attempts = 0
         self.refused = [0] * gateways
         service = types.SimpleNamespace(engine=routes.Engine(SLOTS, 1, 8))
         index = types.SimpleNamespace(services={'s': service})
@@ -173,90 +172,91 @@
             for known in self.known
         ]
 
-    def follow(self, first):
-        """Let all gateways learn of ranks numbered from ``first``."""
+    def update_views(self, first):
+        """Send all gateways a view of ranks numbered from ``first``."""
         for known in self.known:
             known.follow([_rank(first + n) for n in range(self.ranks)])
 
     async def run(self, opens_s):
-        first = FRESH if self.is_stale else 0
-        self.follow(0)
+        first = FIRST_NEW_RANK if self.is_outdated else 0
+        self.update_views(0)
         async with trio.open_nursery() as nursery:
             self.opens_s = trio.current_time() + opens_s
             for gateway in range(len(self.known)):
-                nursery.start_soon(self.callers, gateway, nursery)
-            if self.is_stale:
-                await trio.sleep(NEW_S)
-                self.follow(first)
+                nursery.start_soon(self.send_requests, gateway, nursery)
+            if self.is_outdated:
+                await trio.sleep(VIEW_UPDATE_S)
+                self.update_views(first)
             await trio.sleep_until(self.opens_s + REPORT_S)
             for known in self.known:
                 for number in range(self.ranks):
                     load = _load(first + number, 1, True)
                     known.report(load, trio.current_time())
 
-    async def callers(self, gateway, nursery):
-        """Send those that waited for the process, then some a second."""
-        for _ in range(WAITING):
-            nursery.start_soon(self.ask, gateway)
-        until_s = trio.current_time() + SPAN_S
+    async def send_requests(self, gateway, nursery):
+        """Send the initial requests, then more at random intervals."""
+        for _ in range(INITIAL_REQUESTS):
+            nursery.start_soon(self.request, gateway)
+        until_s = trio.current_time() + DURATION_S
         while trio.current_time() < until_s:
-            nursery.start_soon(self.ask, gateway)
-            await trio.sleep(self.rng.expovariate(RATE))
+            nursery.start_soon(self.request, gateway)
+            await trio.sleep(self.rng.expovariate(REQUESTS_PER_S))
 
-    async def ask(self, gateway):
-        self.asked += 1
+    async def request(self, gateway):
+        """Attempt one request until a rank accepts it."""
+        self.requests += 1
         now_s = trio.current_time()
         exchange = types.SimpleNamespace(
             service='s', tried=set(), begun_s=now_s, until_s=now_s + 8.0
         )
-        while not await self.is_taken(gateway, exchange):
+        while not await self.is_accepted(gateway, exchange):
             self.refused[gateway] += 1
         self.served += 1
-        self.most_tries = max(self.most_tries, len(exchange.tried))
+        self.most_attempts = max(self.most_attempts, len(exchange.tried))
 
-    async def is_taken(self, gateway, exchange):
+    async def is_accepted(self, gateway, exchange):
         known = self.known[gateway]
         picked = await self.pickers[gateway].pick(exchange)
         backend = picked.backend
         number = int(backend.instance.instance_id[2:])
         exchange.tried.add(backend.instance.instance_id)
         backend.began(trio.current_time())
-        takes = trio.current_time() >= self.opens_s
-        is_gone = self.is_stale and number < FRESH
-        if is_gone or not takes:
-            await trio.sleep(REFUSED_S)
-            backend.replaced = is_gone
+        is_open = trio.current_time() >= self.opens_s
+        is_replaced = self.is_outdated and number < FIRST_NEW_RANK
+        if is_replaced or not is_open:
+            await trio.sleep(REFUSAL_S)
+            backend.replaced = is_replaced
             backend.heard(0, 0, trio.current_time())
             known.refused(backend, trio.current_time())
             backend.ended()
             return False
-        await trio.sleep(FIRST_S)
+        await trio.sleep(FIRST_EVENT_S)
         known.accepted(backend, trio.current_time())
         backend.ended()
         return True
 
 
-@given('{gateways:d} gateways and {ranks:d} ranks, of a view that is {view}')
-def make_wave(context, gateways, ranks, view):
-    context.sizes = (gateways, ranks, view != 'right')
+@given('{gateways:d} gateways with an {view} view of {ranks:d} ranks')
+def prepare_start(context, gateways, view, ranks):
+    context.parameters = (gateways, ranks, view != 'accurate')
 
 
-@when('callers come while the group opens {opens_s:g} s later')
-def run_wave(context, opens_s):
+@when('callers send requests and the group opens {opens_s:g} s later')
+def run_start(context, opens_s):
     async def play():
-        context.wave = _Wave(*context.sizes)
-        await context.wave.run(opens_s)
+        context.start = _Start(*context.parameters)
+        await context.start.run(opens_s)
 
     trio.run(play, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-@then('all are served, none with a third try')
-def all_served(context):
-    wave = context.wave
-    assert wave.served == wave.asked > 100, (wave.served, wave.asked)
-    assert wave.most_tries <= 2, wave.most_tries
+@then('all requests are served, none with a third attempt')
+def check_served(context):
+    start = context.start
+    assert start.served == start.requests > 100, (start.served, start.requests)
+    assert start.most_attempts <= 2, start.most_attempts
 
 
-@then('the ranks refuse at most {most:d} times a gateway')
-def few_refusals(context, most):
-    assert max(context.wave.refused) <= most, context.wave.refused
+@then('the ranks refuse at most {most:d} requests per gateway')
+def check_refusals(context, most):
+    assert max(context.start.refused) <= most, context.start.refused
