--- a/features/closedgroups.feature
+++ b/features/closedgroups.feature
@@ -18,7 +18,7 @@
   Scenario Outline: <after_s> s after refusals by both groups, <request> <result>
     When a rank of group 1 refuses while it has 0 requests
     And a rank of group 2 refuses while it has 0 requests
-    And <after_s> s pass
+    And <after_s> s pass at the gateway
     Then <request> <result>
 
     Examples:
@@ -33,16 +33,16 @@
     And a rank of group 2 refuses while it has 0 requests
     And <event> 0.1 s later
     Then a refused request finds a runner
-    And waiting requests are woken
+    And the requests that wait for a group are woken
 
     Examples:
-      | event                              |
-      | a report of an open rank arrives   |
-      | a rank accepts a request           |
+      | event                            |
+      | a report of an open rank arrives |
+      | a rank accepts a request         |
 
   Scenario Outline: <age_s> s after reports that all ranks are closed, a new request <result>
     When all ranks of both groups report that they are closed
-    And <age_s> s pass
+    And <age_s> s pass at the gateway
     Then a new request <result>
 
     Examples:
@@ -52,9 +52,9 @@
 
   Scenario: The time for which all groups are closed restarts at each closure
     When all ranks of both groups report that they are closed
-    And 3 s pass
+    And 3 s pass at the gateway
     And all ranks of both groups report that they are open
-    And 50 s pass
+    And 50 s pass at the gateway
     And all ranks of both groups report that they are closed
     Then all groups have been closed for 0 s
 
--- a/features/steps/closedgroups_steps.py
+++ b/features/steps/closedgroups_steps.py
@@ -68,7 +68,7 @@
     context.known.refused(backend, context.now_s)
 
 
-@when('{after_s:g} s pass')
+@when('{after_s:g} s pass at the gateway')
 def wait(context, after_s):
     context.now_s += after_s
 
@@ -114,7 +114,7 @@
     assert (picked is not None) == (found == 'a')
 
 
-@then('waiting requests are woken')
+@then('the requests that wait for a group are woken')
 def woken(context):
     assert context.changed.is_set()
 
