--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on what the leader of many ranks sends, takes and looks at."""
+"""Steps on the load on the leader of groups with many ranks."""
 
 import random
 import types
@@ -14,7 +14,7 @@
 
 SETS, RANKS, EXPERTS, PLACES = 10, 192, 384, 3
 PEER = application.Peer(b'route', 0, '')
-#: Rounds of reports in which a change must have ended.
+#: Rounds of reports in which a change must be finished.
 MOST_ROUNDS = 20
 
 
@@ -41,33 +41,33 @@
         held = context.placed[place % SETS][place // SETS]
         held[-1] = (held[-1] + 7) % EXPERTS
     context.packed = mapdeltas.pack(context.placed, 7, context.known)
-    context.whole = mapdeltas.pack(context.placed, ranks.NO_VERSION, [])
+    context.packed_whole = mapdeltas.pack(context.placed, ranks.NO_VERSION, [])
 
 
-@then('it takes at most {most:d} bytes, and {whole:d} where nothing is known')
-def check_packed_size(context, most, whole):
-    size = len(context.packed.data), len(context.whole.data)
-    assert size[0] <= most and size[1] <= whole, size
+@then('it takes at most {most:d} bytes, and {most_whole:d} without a base')
+def check_packed_size(context, most, most_whole):
+    sizes = len(context.packed.data), len(context.packed_whole.data)
+    assert sizes[0] <= most and sizes[1] <= most_whole, sizes
 
 
-@then('what is unpacked is the new map, in both forms')
+@then('both packed forms unpack to the new map')
 def check_unpacked(context):
-    found = mapdeltas.unpack(context.packed, context.known)
-    assert found == context.placed
-    assert mapdeltas.unpack(context.whole, []) == context.placed
+    unpacked = mapdeltas.unpack(context.packed, context.known)
+    assert unpacked == context.placed
+    assert mapdeltas.unpack(context.packed_whole, []) == context.placed
 
 
-@when('a packed map comes that {fault}')
-def spoil_map(context, fault):
+@when('a packed map is unpacked that {fault}')
+def unpack_bad_map(context, fault):
     packed = mapdeltas.pack(context.known, 7, context.known)
     known = context.known
-    if fault == 'is cut short':
+    if fault == 'is truncated':
         packed = packed._replace(data=packed.data[:-4])
-    elif fault == 'tells a size of nothing':
+    elif fault == 'states a size of zero':
         packed = packed._replace(places=0)
-    elif fault == 'tells a size beyond all bounds':
+    elif fault == 'states a size above the limit':
         packed = packed._replace(ranks=10**9)
-    elif fault == 'holds more than it tells':
+    elif fault == 'has more data than its size':
         packed = packed._replace(places=2)
     else:
         known = [by_rank[:-1] for by_rank in known]
@@ -84,7 +84,7 @@
 
 
 class _Engine:
-    """Takes any order, and keeps it."""
+    """Accepts any order, and records it."""
 
     def __init__(self):
         self.orders = []
@@ -123,35 +123,35 @@
     context.tasks.clear()
 
 
-@when('an order to prepare comes that builds on map {base:d}')
-def push_on_base(context, base):
-    # As after a report: nothing is new.
+@when('it receives an order to prepare a map packed against map {base:d}')
+def push_with_base(context, base):
+    # As after a report: no change to report.
     context.sidecar._told = 'told'
     _push(context, mapdeltas.pack(context.known, base, context.known))
 
 
 @then('the order is not carried out, and the sidecar reports at once')
-def check_not_followed(context):
+def check_not_carried_out(context):
     assert not context.engine.orders
     assert context.sidecar._told is None and context.sidecar._wake.is_set()
 
 
-@when('the order comes again with the whole map')
+@when('it receives the order again with the whole map')
 def push_whole(context):
     _push(context, mapdeltas.pack(context.known, ranks.NO_VERSION, []))
 
 
 @then('the order is carried out with that map')
-def check_followed(context):
+def check_carried_out(context):
     assert [order.placed for order in context.engine.orders] == [context.known]
 
 
-@given('the leader lets it rest for {rest_s:g} s')
-def let_rest(context, rest_s):
-    context.sidecar._report_s = rest_s
+@given('a report interval of {interval_s:g} s set by the leader')
+def set_interval(context, interval_s):
+    context.sidecar._report_s = interval_s
 
 
-@when('it has reported and rests')
+@when('it has just reported')
 def has_reported(context):
     context.sidecar._told = sidecar._news(_state(0, RANKS))
     context.sidecar._reported_s = context.sidecar.app.now_s()
@@ -163,11 +163,11 @@
     context.sidecar._order = (order, context.sidecar.app.now_s())
 
 
-@then('its next report is due after {rest_s:g} s')
-def check_due(context, rest_s):
+@then('its next report is due after {interval_s:g} s')
+def check_due(context, interval_s):
     state, now_s = _state(0, RANKS), context.sidecar.app.now_s()
-    assert not context.sidecar._is_due(state, now_s + rest_s - 0.02)
-    assert context.sidecar._is_due(state, now_s + rest_s)
+    assert not context.sidecar._is_due(state, now_s + interval_s - 0.02)
+    assert context.sidecar._is_due(state, now_s + interval_s)
 
 
 def _state(rank, size, **fields):
@@ -179,12 +179,12 @@
 
 
 class _Leader:
-    """What the leader's planning needs; counts what it sends."""
+    """Application and replica of a leader; records the orders it pushes."""
 
     def __init__(self):
         self.at_s = 10.0
         self.sent, self.tasks = [], []
-        #: Whether the newest report was answered before a search ended.
+        #: Whether a search was still to run when the last report was answered.
         self.replies_first = False
         self.node = types.SimpleNamespace(term=1)
         self.metrics = types.SimpleNamespace(incr=lambda _: None)
@@ -197,7 +197,7 @@
         return self.at_s
 
     def check_leader(self):
-        """Lead always."""
+        """Pass: this controller always leads."""
 
     def send(self, route, message):
         self.sent.append(message.order.kind)
@@ -234,7 +234,7 @@
     assert len(asked) == count, len(asked)
 
 
-@then('reports come at most {most:d} times a second while no map changes')
+@then('reports arrive at most {most:d} times a second while no map changes')
 def check_report_rate(context, most):
     per_s = sum(1 / (reply.report_s or 0.12) for reply in context.replies)
     assert per_s <= most, per_s
@@ -244,10 +244,10 @@
 def go_through_change(context):
     leader, size = context.leader, context.size
     group = leader.groups.by_name['g']
-    complete_states, context.looks = group.complete_states, 0
+    complete_states, context.checks = group.complete_states, 0
 
     def counted(now_s):
-        context.looks += 1
+        context.checks += 1
         return complete_states(now_s)
 
     group.complete_states = counted
@@ -265,11 +265,11 @@
             fields.update(armed=9, armed_step=step)
         for rank in range(size):
             leader.at_s += 0.0005
-            held = {'held_step': step} if rank == 0 else {}
-            done = context.kinds[-1:] == [ranks.GO]
-            if done:
-                held = {'map_version': 9, 'armed': ranks.NO_VERSION}
-            reply = leader.report(rank, size, **{**fields, **held})
+            extra = {'held_step': step} if rank == 0 else {}
+            is_released = context.kinds[-1:] == [ranks.GO]
+            if is_released:
+                extra = {'map_version': 9, 'armed': ranks.NO_VERSION}
+            reply = leader.report(rank, size, **{**fields, **extra})
             sent = leader.sent + ([reply.order.kind] if reply.order else [])
             leader.sent = []
             for kind in sent:
@@ -277,8 +277,8 @@
                     context.kinds.append(kind)
 
 
-@then('the phases were told in the order prepare, hold, arm, go')
-def check_phases(context):
+@then('the orders were sent in the sequence prepare, hold, arm, go')
+def check_kinds(context):
     assert context.leader.groups.by_name['g'].progress is None
     kinds = list(dict.fromkeys(context.kinds))
     assert kinds == [
@@ -286,9 +286,9 @@
     ], context.kinds  # fmt: skip
 
 
-@then('all ranks were looked at together at most {most:d} times')
-def check_looks(context, most):
-    assert context.looks <= most, context.looks
+@then('all ranks were checked together at most {most:d} times')
+def check_checks(context, most):
+    assert context.checks <= most, context.checks
 
 
 @given('maps 9 and 11 of which 11 is to be prepared')
@@ -305,7 +305,7 @@
     context.reply = context.leader.report(rank, context.size, known)
 
 
-@then('the map that it gets builds on {base:d}')
+@then('the map that it receives is packed against {base:d}')
 def check_base(context, base):
     assert context.reply.order.kind == ranks.PREPARE
     assert context.reply.packed.base == base, context.reply.packed.base
@@ -313,7 +313,7 @@
 
 
 def _make_plannable(context, search):
-    """Let a group's demand be known, and searches be those of a step."""
+    """Give the group enough demand, and run ``search`` to find its plans."""
     group = context.leader.groups.by_name['g']
     group.demand.mean = [1.0 * mapplanning.LEAST_CHOICES]
     planner = context.leader.groups.planner
@@ -322,10 +322,10 @@
     return group
 
 
-@when('demand shifts while a plan is searched for')
+@when('demand shifts during the search for a plan')
 def shift_in_search(context):
     async def search(*_args):
-        # What `Group.record_report` notes of a shift.
+        # As `Group.record_report` does when demand shifts.
         context.group.outdated = True
         return mapplans.Planned(_first_map(), 'better')
 
@@ -343,14 +343,14 @@
     assert context.leader.replies_first
 
 
-@then('the plan is begun, and a newer one may take its place')
+@then('the planned change begins, and a newer one may replace it')
 def check_outdated(context):
     assert context.group.change.version == 12
     assert context.group.outdated and context.group.accepts_new_change
 
 
-@when('searches find nothing for 1 s of reports, 0.005 s apart')
-def search_in_vain(context):
+@when('searches find no better map during 1 s of reports, 0.005 s apart')
+def search_without_result(context):
     context.searches = 0
 
     async def search(*_args):
@@ -368,19 +368,19 @@
 
 
 @when(
-    'rank {first:d} reports a new epoch, and rank {late:d} the old one'
+    'rank {first:d} reports a new epoch, and rank {delayed:d} the old one'
     ' after it'
 )
-def report_late(context, first, late):
+def report_delayed(context, first, delayed):
     context.leader.report(first, context.size, epoch=2)
-    context.leader.report(late, context.size, epoch=1)
+    context.leader.report(delayed, context.size, epoch=1)
 
 
-@then('{after_s:g} s later rank {rank:d} is the only one that is silent')
-def check_silent(context, after_s, rank):
+@then('{after_s:g} s later only rank {rank:d} is unresponsive')
+def check_unresponsive(context, after_s, rank):
     now_s = context.leader.at_s + after_s
-    silent = context.leader.groups.unresponsive_ranks(0.4, now_s)
-    assert [report.state.rank for report in silent] == [rank], silent
+    found = context.leader.groups.unresponsive_ranks(0.4, now_s)
+    assert [report.state.rank for report in found] == [rank], found
 
 
 @given('leases of {count:d} gateways at a leader')
@@ -389,7 +389,7 @@
     context.gateways = count
 
 
-@then('loads are told at most {most:d} times a second together')
+@then('at most {most:d} load messages are sent per second in all')
 def check_loads_rate(context, most):
     assert context.gateways / context.interval_s <= most + 1e-6
     assert controller.loads_interval_s(1) == controller.LOADS_S
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -454,7 +454,7 @@
     Mutant(
         'maps: each report looks at all ranks', 'rankgroups',
         'if now_s < self._complete_until_s:', 'if False:', 'manyranks',
-        'takes few looks',
+        'checks all of them only',
     ),
     Mutant(
         'maps: shifts during a search forgotten', 'mapplanning',
@@ -462,12 +462,12 @@
         'group.outdated = False\n'
         '        if group.epoch != state.epoch or has_step or '
         'group.has_held_pass:',
-        'manyranks', 'shift that is told',
+        'manyranks', 'shift of demand during',
     ),
     Mutant(
         'maps: no rest after a search in vain', 'mapplanning',
         'group.next_plan_s = self.app.now_s() + FUTILE_S', 'pass',
-        'manyranks', 'search that found',
+        'manyranks', 'Searches that find no',
     ),
     Mutant(
         'maps: a cut map is taken', 'mapdeltas',
