--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -201,7 +201,7 @@
     'a change took at most {most_s:g} s from its plan to its use in the middle'
 )
 def check_change_took(context, most_s):
-    took_s = statistics.median(context.world.took_s)
+    took_s = statistics.median(context.world.change_durations_s)
     assert took_s <= most_s, took_s
 
 
@@ -226,12 +226,12 @@
 def check_still_a_change(context, most_s):
     world = context.world
     assert world.changes >= 10, world.changes
-    assert world.still_s <= most_s * world.changes, world.still_s
+    assert world.stalled_s <= most_s * world.changes, world.stalled_s
 
 
 @then('the group stood still for at most {most_s:g} s in all')
 def check_still(context, most_s):
-    assert context.world.still_s <= most_s, context.world.still_s
+    assert context.world.stalled_s <= most_s, context.world.stalled_s
 
 
 # Budgets.
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -171,9 +171,9 @@
         self.term, self.log_index, self.changes = 1, 0, 0
         self.reports = 0
         #: When each map was planned, and how long each took to be in use.
-        self.planned_s, self.took_s = {}, []
+        self.planned_s, self.change_durations_s = {}, []
         #: How long the group stood still, for a held pass or while forming.
-        self.still_s = 0.0
+        self.stalled_s = 0.0
         self.leader = Leader(self)
 
     def start(self):
@@ -232,14 +232,14 @@
                     rank.waiting.append(engine.Run(200, 100))
             length_s = self.group.begin_pass(trio.current_time())
             if length_s is None:
-                self.still_s += POLL_S
+                self.stalled_s += POLL_S
                 await trio.sleep(POLL_S)
                 continue
             if self.group.ranks[0].map_version not in (0, used):
                 self.changes += 1
                 used = self.group.ranks[0].map_version
                 now_s = trio.current_time()
-                self.took_s.append(now_s - self.planned_s[used])
+                self.change_durations_s.append(now_s - self.planned_s[used])
             await trio.sleep(length_s)
             self.group.end_pass()
 
