--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A group of engines, their sidecars and a leader, on virtual time.
+"""Simulation of a group of engines, their sidecars and a leader.
 
-The leader's planning and the steps of a change are the product's own code;
-orders between sidecars and engines can be lost or late, the leader can
-change, and ranks can die.
+Runs on virtual time, with the product's code for planning and map changes.
+Orders from sidecars to engines can be lost or delayed, the leader can change,
+sidecars and boxes can freeze, and ranks can fail or restart.
 """
 
 import random
@@ -19,15 +19,16 @@
 from standins import engine
 
 SHEET = engine.EngineSheet()
-LOADED = 3
-#: How often a group that stands still is looked at again.
+#: Requests that each rank always has, running or waiting.
+REQUESTS_PER_RANK = 3
+#: Interval at which a stalled group is checked.
 POLL_S = 0.01
-#: How long a sidecar is frozen after it has given an order to hold.
+#: How long a sidecar is frozen after it has sent an order to hold.
 FROZEN_S = 4.0
 
 
 class Leader:
-    """What the leader's planning needs: a clock, a log, and leadership."""
+    """Application and replica of a leader: a clock, a log, and leadership."""
 
     def __init__(self, world):
         self.world = world
@@ -35,7 +36,7 @@
         self.metrics = types.SimpleNamespace(incr=lambda _: None)
         sheet = mapplans.Sheet(SHEET.places, SHEET.spare, SHEET.experts)
         self.groups = groups.Groups(self, self, lambda _: sheet)
-        if not world.alone:
+        if not world.without_other_box:
             self.groups.send_remote_order = self._send_remote_order
 
     def _send_remote_order(self, remote):
@@ -57,9 +58,9 @@
             raise errors.NotLeader()
 
     def send(self, route, message):
-        """Push to a sidecar, on a connection that may lose it."""
+        """Push a message to a sidecar; it may be lost."""
         world = self.world
-        if world.rng.random() >= world.deaf:
+        if world.rng.random() >= world.push_loss:
             world.nursery.start_soon(self._push, int(route), message)
         return True
 
@@ -71,12 +72,12 @@
         await trio.sleep(0.005)
         self.check_leader()
         self.world.log_index += 1
-        self.world.planned_s[self.world.log_index] = trio.current_time()
+        self.world.planned_at_s[self.world.log_index] = trio.current_time()
         return self.world.log_index
 
 
 class Engine:
-    """The engine of one rank, as its sidecar speaks with it."""
+    """Client of one rank's engine, for its sidecar or a remote box."""
 
     def __init__(self, world, number, is_remote=False):
         self.world, self.number = world, number
@@ -101,30 +102,30 @@
     async def follow(self, order):
         world = self.world
         await trio.sleep(0.001)
-        if world.rng.random() >= world.faulty:
+        if world.rng.random() >= world.order_loss:
             now_s = trio.current_time()
             world.group.follow(self.number, order, now_s)
-            gave = world.freezing and order.kind == ranks.HOLD
-            if gave and not self.is_remote:
+            freezes = world.freezing and order.kind == ranks.HOLD
+            if freezes and not self.is_remote:
                 world.frozen_until_s[self.number] = now_s + FROZEN_S
             return
-        if world.late:
-            world.nursery.start_soon(self._follow_late, order)
+        if world.delaying:
+            world.nursery.start_soon(self._follow_delayed, order)
         await trio.sleep(engines.ORDER_S)
-        raise errors.OutcomeUnknown('no answer')
+        raise errors.OutcomeUnknown('no response')
 
-    async def _follow_late(self, order):
+    async def _follow_delayed(self, order):
         await trio.sleep(self.world.rng.uniform(2, 12))
         try:
             now_s = trio.current_time()
             self.world.group.follow(self.number, order, now_s)
         except errors.RefusedChange:
-            # What came too late no longer fits, as on a real engine.
+            # The engine refuses an order that no longer fits its state.
             return
 
 
 class Caller:
-    """A sidecar's way to whoever leads."""
+    """A sidecar's connection to the current leader."""
 
     def __init__(self, world, number):
         self.world = world
@@ -140,39 +141,41 @@
 
 
 class World:
-    """All of it, with the faults that a scenario names."""
+    """The group, its sidecars and leaders, with the faults of a scenario."""
 
     def __init__(self, nursery, faults, seed):
         self.nursery = nursery
         self.rng = random.Random(seed)
         self.group = engine.Group(SHEET, self.rng)
-        self.faulty = 0.0
-        self.late = 'late' in faults
-        if 'lost' in faults or self.late:
-            self.faulty = 0.3
+        #: Part of the orders to engines that are lost, or delayed.
+        self.order_loss = 0.0
+        #: Whether these orders are carried out later.
+        self.delaying = 'late' in faults
+        if 'lost' in faults or self.delaying:
+            self.order_loss = 0.3
         self.changing = 'leader changes' in faults
         self.term_s = 0.7 if 'each 0.7 s' in faults else 3.0
         self.dying = 'dying' in faults
-        #: Whether ranks start again under their ids, and tell their starts.
+        #: Whether ranks restart under their ids and report their start times.
         self.restarting = 'restart' in faults
-        #: Demand stays as it is at the end, so that the last change ends
-        #: and no pass is held for another one at the moment of the check.
+        #: False at the end, so that the last change finishes and no pass is
+        #: held for another one at the moment of the check.
         self.shifting = True
         self.report_s = 0.5 if 'rest 0.5 s' in faults else 0.2
-        #: Part of what the leader sends unasked that is lost.
-        self.deaf = 0.5 if 'pushes lost' in faults else 0.0
+        #: Part of the leader's pushes that are lost.
+        self.push_loss = 0.5 if 'pushes lost' in faults else 0.0
         self.sidecars = {}
         self.freezing = 'frozen' in faults
         #: Whether the runner is frozen with its sidecar.
         self.with_box = 'the box' in faults
         self.frozen_until_s = [0.0] * SHEET.ranks
-        #: Whether no other box is there to give orders.
-        self.alone = 'no other box' in faults
+        #: Whether there is no other box that could send orders.
+        self.without_other_box = 'no other box' in faults
         self.term, self.log_index, self.changes = 1, 0, 0
         self.reports = 0
-        #: When each map was planned, and how long each took to be in use.
-        self.planned_s, self.change_durations_s = {}, []
-        #: How long the group stood still, for a held pass or while forming.
+        #: When each map was planned, and the times from then to its use.
+        self.planned_at_s, self.change_durations_s = {}, []
+        #: How long no pass could begin, for a hold or while the group formed.
         self.stalled_s = 0.0
         self.leader = Leader(self)
 
@@ -188,7 +191,7 @@
             self.nursery.start_soon(self._kill_ranks)
 
     async def _stand_in(self):
-        """Run what the leader does for silent sidecars, whoever leads."""
+        """Call engines with unresponsive sidecars for the current leader."""
         app = types.SimpleNamespace(
             now_s=trio.current_time,
             metrics=types.SimpleNamespace(incr=lambda _: None),
@@ -228,10 +231,12 @@
         used = 0
         while True:
             for rank in self.group.ranks:
-                while len(rank.running) + len(rank.waiting) < LOADED:
+                while (
+                    len(rank.running) + len(rank.waiting) < REQUESTS_PER_RANK
+                ):
                     rank.waiting.append(engine.Run(200, 100))
-            length_s = self.group.begin_pass(trio.current_time())
-            if length_s is None:
+            duration_s = self.group.begin_pass(trio.current_time())
+            if duration_s is None:
                 self.stalled_s += POLL_S
                 await trio.sleep(POLL_S)
                 continue
@@ -239,8 +244,8 @@
                 self.changes += 1
                 used = self.group.ranks[0].map_version
                 now_s = trio.current_time()
-                self.change_durations_s.append(now_s - self.planned_s[used])
-            await trio.sleep(length_s)
+                self.change_durations_s.append(now_s - self.planned_at_s[used])
+            await trio.sleep(duration_s)
             self.group.end_pass()
 
     async def _shift(self):
@@ -266,20 +271,23 @@
 
 
 def play(span_s, faults, seed):
-    """Play a scenario and return its world."""
+    """Simulate ``span_s`` and 20 s more; return the world.
+
+    In the last 20 s no order is lost and demand does not shift.
+    """
 
     async def main():
         async with trio.open_nursery() as nursery:
             world = World(nursery, faults, seed)
             world.start()
             await trio.sleep(span_s)
-            world.faulty = 0.0
+            world.order_loss = 0.0
             world.shifting = False
             await trio.sleep(20)
             nursery.cancel_scope.cancel()
         return world
 
-    # Tasks of one moment run in an order that is drawn from here too.
+    # Trio runs tasks that are ready together in an order drawn from this seed.
     trio._core._run._r.seed(str(seed))
     clock = trio.testing.MockClock(autojump_threshold=0)
     return trio.run(main, clock=clock)
