--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -16,7 +16,7 @@
 
 #: Minimum time between the end of a change and the next search for a plan.
 PAUSE_S = 0.05
-#: Minimum time between a search that found no better map and the next one. A
+#: Minimum time between a search that started no change and the next one. A
 #: search takes CPU time on the leader; the demand estimate improves slowly.
 FUTILE_S = 0.25
 #: Expert choices counted since the last shift of demand, below which no search
@@ -67,7 +67,7 @@
 
         The search runs as a task of its own, so that the report that triggered
         it is answered at once: a search may take longer than a sidecar waits
-        for the answer before it takes the leader for lost.
+        for the answer before it looks for another leader.
         """
         may_plan = now_s >= group.next_plan_s and group.demand.is_settled
         if not (may_plan or group.has_held_pass) or not group.is_complete(
@@ -99,13 +99,13 @@
         engine_parameters: mapplans.Sheet,
     ) -> None:
         """Search for a better map, and start the change to it if found."""
-        paces = [state.pace for state in states]
+        slowdowns = [state.pace for state in states]
         try:
             planned = await self.offload(
                 mapplans.plan,
                 group.current_map(),
                 list(group.demand.mean),
-                paces,
+                slowdowns,
                 engine_parameters,
             )
             if planned is not None:
