--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -94,7 +94,7 @@
                 term, None, mapdeltas.NO_MAP, 0.0, False, False, False
             )
         if state.epoch == group.epoch:
-            # A delayed report of an earlier epoch is no sign of the rank.
+            # A delayed report of an earlier epoch does not count as a contact.
             group.record_contact(state.rank, peer.route, now_s)
         order = self._order_for(group, report, now_s)
         return messages.RankReply(
