--- a/features/steps/demand_steps.py
+++ b/features/steps/demand_steps.py
@@ -133,7 +133,7 @@
 @given('a group of 12 ranks that is copying the experts of a change')
 def make_group(context):
     context.group = rankgroups.Group()
-    context.group.take(_rank_report(context, 1), 0.0)
+    context.group.record_report(_rank_report(context, 1), 0.0)
     change = mapchanges.Change('g', 1, 9, [[[1], [2]]])
     context.group.progress = mapchanges.Progress(change, [])
     # The steps above report to the group, which has its own counts.
@@ -143,7 +143,7 @@
 def _recorder(context):
     def record(choices, now_s):
         before = context.group.outdated
-        context.group.take(_rank_report(context, 1, choices), now_s)
+        context.group.record_report(_rank_report(context, 1, choices), now_s)
         return context.group.outdated and not before
 
     return record
@@ -151,7 +151,7 @@
 
 @then('a newer plan may replace the change')
 def check_replaceable(context):
-    assert context.detected_s and context.group.is_open_to_plans
+    assert context.detected_s and context.group.accepts_new_change
 
 
 @then('no plan may replace it once a pass is held for it')
@@ -159,12 +159,12 @@
     group = context.group
     held = group.change._replace(step=12)
     group.progress = mapchanges.Progress(held, [])
-    assert not group.is_open_to_plans
+    assert not group.accepts_new_change
 
 
 @when('the group forms again')
 def form_again(context):
-    context.group.take(_rank_report(context, 2), context.now_s)
+    context.group.record_report(_rank_report(context, 2), context.now_s)
 
 
 @then('no change is in progress, and demand is known')
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -757,7 +757,7 @@
         check_leader=lambda: None, node=types.SimpleNamespace(term=1)
     )
     context.groups = groups.Groups(app, replica, lambda _: None)
-    context.groups.born_ms = {'i': 995000}.get
+    context.groups.registered_start_ms = {'i': 995000}.get
 
 
 def _report(context, born_ms):
@@ -776,9 +776,9 @@
 @then('no load is passed on, and no order is given')
 def check_no_load(context):
     assert context.reply.order is None
-    assert context.groups.take_loads() == []
+    assert context.groups.pop_loads() == []
     _report(context, 995000)
-    assert len(context.groups.take_loads()) == 1
+    assert len(context.groups.pop_loads()) == 1
 
 
 @given('an emulated runner, a registry and a gateway that follows it')
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -63,8 +63,8 @@
         self.groups = groups.Groups(
             app, self.replica, lambda instance_id: self.sheet(instance_id)
         )
-        self.groups.give_elsewhere = self.give_elsewhere
-        self.groups.born_ms = self._born_ms
+        self.groups.send_remote_order = self.give_elsewhere
+        self.groups.registered_start_ms = self._born_ms
         #: Incarnations that a later one of the same name has replaced.
         self._replaced: set[tuple[str, str]] = set()
 
@@ -219,7 +219,7 @@
             await trio.sleep(loads_interval_s(len(routes)))
             if not self.replica.lease_valid():
                 continue
-            told = self.groups.take_loads()
+            told = self.groups.pop_loads()
             if told:
                 self.app.send_all(self._gateway_routes(), messages.Loads(told))
 
--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""When a group's map is planned anew, and how a plan becomes a change."""
+"""Decides when to plan a new expert map for a group, and starts its change."""
 
 import typing
 
@@ -12,27 +12,26 @@
 from mountridge.logs import logger
 from mountridge.state import commands
 
-__all__ = ['PAUSE_S', 'Planner', 'told']
+__all__ = ['PAUSE_S', 'Planner', 'log_fields']
 
-#: Least time between the end of a change and the next plan.
+#: Minimum time between the end of a change and the next search for a plan.
 PAUSE_S = 0.05
-#: And after a search that found none that pays. A search keeps the leader's
-#: core for 0.02 s at 12 ranks and 0.1 s at 192; demand is known a little
-#: better with each span of 0.2 s.
+#: Minimum time between a search that started no change and the next one. A
+#: search takes CPU time on the leader; the demand estimate improves slowly.
 FUTILE_S = 0.25
-#: Work seen since demand shifted, in choices of an expert, below which no
-#: plan is made: an idle group gains nothing from one.
+#: Expert choices counted since the last shift of demand, below which no search
+#: is made: an idle group gains nothing from a new map.
 LEAST_CHOICES = 10000
-#: Newest maps that are kept, since sidecars build the next one on them.
+#: Number of newest maps kept, as bases for packing later ones.
 KEPT_MAPS = 3
 
 
-async def _at_once(function: typing.Callable, *args: typing.Any):
+async def _run_inline(function: typing.Callable, *args: typing.Any):
     return function(*args)
 
 
-def told(change: mapchanges.Change) -> dict[str, typing.Any]:
-    """Return the fields of a log line on a change."""
+def log_fields(change: mapchanges.Change) -> dict[str, typing.Any]:
+    """Return the log fields that identify a change."""
     return {
         'group': change.group,
         'epoch': change.epoch,
@@ -42,80 +41,84 @@
 
 
 class Planner:
-    """Looks for maps that pay, and begins their changes."""
+    """Searches for better maps, and starts the changes to them."""
 
     def __init__(
         self,
         app: application.Application,
         replica: replicas.Replica,
-        sheet: typing.Callable[[str], mapplans.EngineParameters | None],
+        engine_parameters: typing.Callable[
+            [str], mapplans.EngineParameters | None
+        ],
     ):
         self.app = app
         self.replica = replica
-        self._sheet = sheet
-        #: Runs the search for a plan; a process that serves requests gives
-        #: one that runs it in a thread.
-        self.offload: typing.Callable = _at_once
-        #: Called when a change has begun, so that its orders go out at once.
-        self.begun: typing.Callable[[rankgroups.Group], None] = (
+        self._engine_parameters = engine_parameters
+        #: Runs the search for a plan. A process that serves requests sets one
+        #: that runs it in a thread.
+        self.offload: typing.Callable = _run_inline
+        #: Called when a change has begun, to send its first orders at once.
+        self.on_change_begun: typing.Callable[[rankgroups.Group], None] = (
             lambda group: None
         )
 
-    def look(
+    def consider_change(
         self, instance_id: str, group: rankgroups.Group, now_s: float
     ) -> None:
-        """Begin a change where one was left under way, or look for one.
+        """Resume a change left by another leader, or search for a new one.
 
-        The search runs beside: the report that gave rise to it is answered
-        at once. A search may take longer than a sidecar waits for an answer,
-        0.4 s, and would then look like a leader that is gone.
+        The search runs as a task of its own, so that the report that triggered
+        it is answered at once: a search may take longer than a sidecar waits
+        for the answer before it looks for another leader.
         """
-        may_plan = now_s >= group.plan_from_s and group.demand.is_settled
-        if not (may_plan or group.is_held) or not group.is_whole(now_s):
+        may_plan = now_s >= group.next_plan_s and group.demand.is_settled
+        if not (may_plan or group.has_held_pass) or not group.is_complete(
+            now_s
+        ):
             return
-        states = group.whole(now_s)
+        states = group.complete_states(now_s)
         if states is None:
             return
         found = mapchanges.find_change(states)
         if found is not None and group.change is None:
             group.progress = mapchanges.Progress(found, states)
-            logger.info('map change found', **told(found))
+            logger.info('map change resumed', **log_fields(found))
             return
-        sheet = self._sheet(instance_id)
+        engine_parameters = self._engine_parameters(instance_id)
         if not may_plan or not group.knows_all_experts():
             return
-        if sheet is None or sum(group.demand.mean) < LEAST_CHOICES:
+        if engine_parameters is None or sum(group.demand.mean) < LEAST_CHOICES:
             return
         group.planning = True
-        # A shift that is told during the search makes its plan outdated.
+        # A shift detected during the search makes its plan outdated.
         group.outdated = False
-        self.app.start_task(self._search, group, states, sheet)
+        self.app.start_task(self._search, group, states, engine_parameters)
 
     async def _search(
         self,
         group: rankgroups.Group,
         states: list[ranks.RankState],
-        sheet: mapplans.EngineParameters,
+        engine_parameters: mapplans.EngineParameters,
     ) -> None:
-        """Look for a map that pays, and begin its change."""
-        paces = [state.slowdown for state in states]
+        """Search for a better map, and start the change to it if found."""
+        slowdowns = [state.slowdown for state in states]
         try:
             planned = await self.offload(
                 mapplans.plan,
-                group.placed(),
+                group.current_map(),
                 list(group.demand.mean),
-                paces,
-                sheet,
+                slowdowns,
+                engine_parameters,
             )
             if planned is not None:
                 await self._begin(group, states[0], planned)
         except errors.MountridgeError as problem:
-            # Another leader plans from now on, or this one plans again.
-            logger.info('no change begun', reason=str(problem))
+            # Either another leader plans now, or this one retries later.
+            logger.info('map change not started', reason=str(problem))
         finally:
             group.planning = False
             if group.change is None and not group.outdated:
-                group.plan_from_s = self.app.now_s() + FUTILE_S
+                group.next_plan_s = self.app.now_s() + FUTILE_S
 
     async def _begin(
         self,
@@ -123,12 +126,12 @@
         state: ranks.RankState,
         planned: mapplans.MapPlan,
     ) -> None:
-        """Give a plan its version, which no other plan ever has."""
+        """Start the change to a planned map, under a new unique version."""
         command = commands.NextVersion(self.app.wall_s())
         version = await self.replica.propose(commands.encode(command))
         change = group.change
-        is_held = change is not None and change.step != ranks.NO_VERSION
-        if group.epoch != state.epoch or is_held or group.is_held:
+        has_step = change is not None and change.step != ranks.NO_VERSION
+        if group.epoch != state.epoch or has_step or group.has_held_pass:
             return
         while len(group.maps) >= KEPT_MAPS:
             del group.maps[next(iter(group.maps))]
@@ -140,5 +143,7 @@
             ),
             states,
         )
-        logger.info('map planned', **told(group.change), reason=planned.reason)
-        self.begun(group)
+        logger.info(
+            'map planned', **log_fields(group.change), reason=planned.reason
+        )
+        self.on_change_begun(group)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -354,8 +354,8 @@
     ),
     Mutant(
         'only the newest map known', 'gates',
-        'fit = [v for first, v in state.history if first <= step]',
-        'fit = [state.history[-1][1]]', 'maps',
+        'versions = [v for first, v in state.history if first <= step]',
+        'versions = [state.history[-1][1]]', 'maps',
     ),
     Mutant(
         'moves at any cost', 'maps',
@@ -453,20 +453,21 @@
     ),
     Mutant(
         'maps: each report looks at all ranks', 'rankgroups',
-        'if now_s < self._whole_until_s:', 'if False:', 'manyranks',
-        'takes few looks',
+        'if now_s < self._complete_until_s:', 'if False:', 'manyranks',
+        'checks all of them only',
     ),
     Mutant(
         'maps: shifts during a search forgotten', 'mapplanning',
-        'if group.epoch != state.epoch or is_held or group.is_held:',
+        'if group.epoch != state.epoch or has_step or group.has_held_pass:',
         'group.outdated = False\n'
-        '        if group.epoch != state.epoch or is_held or group.is_held:',
-        'manyranks', 'shift that is told',
+        '        if group.epoch != state.epoch or has_step or '
+        'group.has_held_pass:',
+        'manyranks', 'shift of demand during',
     ),
     Mutant(
         'maps: no rest after a search in vain', 'mapplanning',
-        'group.plan_from_s = self.app.now_s() + FUTILE_S', 'pass',
-        'manyranks', 'search that found',
+        'group.next_plan_s = self.app.now_s() + FUTILE_S', 'pass',
+        'manyranks', 'Searches that find no',
     ),
     Mutant(
         'maps: a cut map is taken', 'mapdeltas',
@@ -516,7 +517,8 @@
     ),
     Mutant(
         'maps: a change gives way after a hold', 'rankgroups',
-        'return self.outdated and not is_held and', 'return self.outdated and',
+        'return self.outdated and not has_step and',
+        'return self.outdated and',
         'demand',
     ),
     Mutant(
@@ -541,12 +543,12 @@
     ),
     Mutant(
         'maps: the held box holds', 'groups',
-        'if not self.give_elsewhere(remote):', 'if True:', 'entry',
+        'if not self.send_remote_order(remote):', 'if True:', 'entry',
         'Whoever is lost',
     ),
     Mutant(
         'maps: nobody stands in for a sidecar', 'groups',
-        'if rank in group.silent:',
+        'if rank in group.unresponsive:',
         'if False:', 'entry', 'Whoever is lost',
     ),
     Mutant(
@@ -989,7 +991,7 @@
     ),
     Mutant(
         'lives: reports of a former life', 'groups',
-        'if 0 < state.born_ms < self.born_ms(report.instance_id):',
+        'if 0 < state.born_ms < self.registered_start_ms(report.instance_id):',
         'if False:', 'lives',
     ),
     Mutant(
