--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -374,7 +374,7 @@
             unseen *= len(sound) / len(self._by_service[service])
         if best is None:
             place = int(rng.random() * (unseen + 1))
-            best = choosing.take_place(sound, cost, place, rng)
+            best = choosing.select_after(sound, cost, place, rng)
         age_s = now_s - best.reported_s
         load = best.load(self.rest_s, now_s)
         return Picked(best, load, age_s, len(sound), now_s)
--- a/mountridge/routing/choosing.py
+++ b/mountridge/routing/choosing.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which of several runners gets a request, as functions of what is known."""
+"""Selects the runner for a request by estimated cost."""
 
 import heapq
 import random
@@ -8,24 +8,25 @@
 
 from mountridge.routing import runnerstates
 
-__all__ = ['take_place']
+__all__ = ['select_after']
 
 Backend = runnerstates.Backend
 
 
-def take_place(
+def select_after(
     backends: list[Backend],
     cost: typing.Callable[[Backend], float],
-    place: int,
+    preceding: int,
     rng: random.Random,
 ) -> Backend:
-    """Return who gets the request after ``place`` others.
+    """Return the runner for a request that follows ``preceding`` others.
 
-    Each goes where the cost is least, ties at random, and adds to it.
+    Assumes that each of them goes to the runner of least cost, ties broken
+    at random, and raises that cost by one slot's share.
     """
     heap = [(cost(b), rng.random(), n) for n, b in enumerate(backends)]
     heapq.heapify(heap)
-    for _ in range(place):
+    for _ in range(preceding):
         least, tie, number = heap[0]
         step = 1 / max(1, backends[number].instance.slots)
         heapq.heapreplace(heap, (least + step, tie, number))
