--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -110,7 +110,7 @@
             if instance.state == instances.LEFT:
                 continue
             backend = known.get(instance.instance_id)
-            if backend is None or not backend.is_life_of(instance):
+            if backend is None or not backend.is_same_incarnation(instance):
                 ended.add(instance.address)
                 backend = Backend(instance)
             backend.instance = instance
@@ -530,5 +530,5 @@
             placed_s.popleft()
         own_per_s = len(placed_s) / RATE_S
         placed_s.append(now_s)
-        unseen_s = runnerstates.UNSEEN_RESTS * self.rest_s
+        unseen_s = runnerstates.UNREPORTED_INTERVALS * self.rest_s
         return own_per_s * unseen_s * max(0, gateways - 1)
--- a/mountridge/routing/runnerstates.py
+++ b/mountridge/routing/runnerstates.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a gateway knows of one runner: its life, its load, its health.
+"""A gateway's state of one runner: its incarnation, load and health.
 
-Its load is estimated from its newest report and from what this gateway has
-sent since. One that fails requests is left out for a while, for longer each
-time, and then tried again by requests.
+The load is estimated from the newest report and from the requests that this
+gateway has sent since. A runner that fails requests is ejected for a time
+that doubles with each ejection; afterwards it gets requests again.
 """
 
 import collections
@@ -12,86 +12,86 @@
 from mountridge.documents import instances
 from mountridge.routing import closures
 
-__all__ = ['Backend', 'UNSEEN_RESTS']
+__all__ = ['Backend', 'UNREPORTED_INTERVALS']
 
-#: A load report older than this many of the times between two is no better
-#: than the own count alone.
-OLD_RESTS = 5.0
-#: Own requests begun within this many of them are not in the newest report
-#: yet: the leader passes reports on a little later.
-UNSEEN_RESTS = 1.25
-#: Failures in a row after which a runner is left out.
+#: Age of a load report, in report intervals, above which it is ignored and
+#: only the gateway's own requests count.
+STALE_INTERVALS = 5.0
+#: Own requests started within this many report intervals are taken as not
+#: yet in the newest report: the leader forwards reports with a delay.
+UNREPORTED_INTERVALS = 1.25
+#: Consecutive failures after which a runner is ejected.
 FAILURES = 2
 EJECT_S = 1.0
 MAX_EJECT_S = 8.0
 
 
 class Backend:
-    """One life of a runner, as this gateway sees it."""
+    """One incarnation of a runner, as this gateway sees it."""
 
     def __init__(self, instance: instances.Instance):
         self.instance = instance
-        self.own = 0  # own requests under way there
-        #: When own requests of late began; a report may not have them yet.
-        self._begun_s: collections.deque[float] = collections.deque()
-        self.reported = 0  # running and waiting, by that report
+        self.own = 0  # requests of this gateway in flight there
+        #: Start times of recent own requests that a report may not include.
+        self._started_s: collections.deque[float] = collections.deque()
+        self.reported = 0  # running and waiting, by the newest load report
         self.reported_s = float('-inf')
-        #: When its sidecar's newest report came.
+        #: When the newest report of its sidecar arrived.
         self.told_s = float('-inf')
-        #: How many times its usual time its work takes, by its sidecar.
+        #: Current step time over the usual one, as reported by its sidecar.
         self.pace = 1.0
-        #: Number of its group, 0 where that is not known.
+        #: Number of its group, 0 if unknown.
         self.group = 0
         self.closure = closures.Closure()
         self.failures = 0
         self.ejections = 0
         self.ejected_until_s = 0.0
-        #: Another runner answers at its address; it never comes back.
+        #: Another runner answers at its address; this is permanent.
         self.replaced = False
 
-    def load(self, rest_s: float, now_s: float) -> int:
-        """Return the requests that are there, as far as is known.
+    def load(self, interval_s: float, now_s: float) -> int:
+        """Return the estimated number of requests on the runner.
 
-        ``rest_s`` is the usual time between two reports of a runner.
+        ``interval_s`` is the usual time between two reports of a runner.
         """
-        if now_s - self.reported_s > OLD_RESTS * rest_s:
+        if now_s - self.reported_s > STALE_INTERVALS * interval_s:
             return self.own
-        unseen_s = UNSEEN_RESTS * rest_s
-        while self._begun_s and self._begun_s[0] < now_s - unseen_s:
-            self._begun_s.popleft()
-        return max(self.own, self.reported + len(self._begun_s))
+        unreported_s = UNREPORTED_INTERVALS * interval_s
+        while self._started_s and self._started_s[0] < now_s - unreported_s:
+            self._started_s.popleft()
+        return max(self.own, self.reported + len(self._started_s))
 
-    def occupancy(self, rest_s: float, now_s: float) -> float:
-        """Return the requests there for each that it works on at once."""
-        return self.load(rest_s, now_s) / max(1, self.instance.slots)
+    def occupancy(self, interval_s: float, now_s: float) -> float:
+        """Return the estimated number of requests per slot."""
+        return self.load(interval_s, now_s) / max(1, self.instance.slots)
 
-    def is_life_of(self, instance: instances.Instance) -> bool:
-        """Return whether a registration is the same life of the runner."""
-        mine = self.instance
-        told = (instance.lives, instance.born_ms)
-        return told == (mine.lives, mine.born_ms)
+    def is_same_incarnation(self, instance: instances.Instance) -> bool:
+        """Return whether a registration is of this incarnation."""
+        known = self.instance
+        registered = (instance.lives, instance.born_ms)
+        return registered == (known.lives, known.born_ms)
 
     def began(self, now_s: float) -> None:
-        """Count an own request as sent."""
+        """Count a request of this gateway as sent."""
         self.own += 1
-        self._begun_s.append(now_s)
+        self._started_s.append(now_s)
 
     def ended(self) -> None:
-        """Count an own request as over."""
+        """Count a request of this gateway as ended."""
         self.own -= 1
 
     def heard(self, running: int, waiting: int, now_s: float) -> None:
-        """Take a load report."""
+        """Record a load report."""
         self.reported = running + waiting
         self.reported_s = now_s
 
     def succeeded(self) -> None:
-        """Count an answer; the runner is well."""
+        """Record a complete answer, which resets failures and ejections."""
         self.failures = 0
         self.ejections = 0
 
     def failed(self, now_s: float) -> None:
-        """Count a failure; some in a row leave the runner out."""
+        """Record a failure; several in a row eject the runner."""
         self.failures += 1
         if self.failures < FAILURES:
             return
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -931,7 +931,7 @@
     ),
     Mutant(
         'lives: a gateway keeps a former life', 'backends',
-        'if backend is None or not backend.is_life_of(instance):',
+        'if backend is None or not backend.is_same_incarnation(instance):',
         'if backend is None:', 'lives',
     ),
     Mutant(
