--- a/mountridge/routing/runnerstates.py
+++ b/mountridge/routing/runnerstates.py
@@ -10,7 +10,7 @@
 import collections
 
 from mountridge.documents import instances
-from mountridge.routing import closures
+from mountridge.routing import groupstates
 
 __all__ = ['Backend', 'UNREPORTED_INTERVALS']
 
@@ -42,7 +42,7 @@
         self.pace = 1.0
         #: Number of its group, 0 if unknown.
         self.group = 0
-        self.closure = closures.Closure()
+        self.closure = groupstates.Closure()
         self.failures = 0
         self.ejections = 0
         self.ejected_until_s = 0.0
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -569,12 +569,12 @@
     ),
     Mutant(
         'picking: a closed group is not waited for', 'picking',
-        'closed_for_s is not None and closed_for_s < closures.HOPE_S',
+        'closed_for_s is not None and closed_for_s < groupstates.HOPE_S',
         'False', 'forwarding', 'closed',
     ),
     Mutant(
         'picking: a group without hope is waited for', 'picking',
-        'closed_for_s is not None and closed_for_s < closures.HOPE_S',
+        'closed_for_s is not None and closed_for_s < groupstates.HOPE_S',
         'closed_for_s is not None', 'forwarding', 'closed',
     ),
     Mutant(
@@ -592,7 +592,7 @@
         'if is_full and not backend.replaced:', 'if False:', 'closedgroups',
     ),
     Mutant(
-        'closures: who was refused tries again blindly', 'closures',
+        'closures: who was refused tries again blindly', 'groupstates',
         'return was_refused or now_s - self._refused_s < REFUSED_S',
         'return now_s - self._refused_s < REFUSED_S', 'closedgroups',
     ),
@@ -1281,7 +1281,7 @@
     ),
     Mutant(
         'picking: all owned elsewhere is waited for', 'picking',
-        'return now_s - since_s < closures.HOPE_S', 'return True', 'warmup',
+        'return now_s - since_s < groupstates.HOPE_S', 'return True', 'warmup',
     ),
 )  # fmt: skip
 
