--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -135,7 +135,7 @@
         backend.heard(load.running, load.waiting, now_s)
         backend.pace = load.pace_percent / 100
         backend.group = load.group
-        if backend.closure.tell(load.is_open, now_s):
+        if backend.group_state.record_report(load.is_open, now_s):
             self._opened(backend)
 
     def began(self, backend: Backend, now_s: float) -> warmup.Send:
@@ -157,7 +157,7 @@
         if not self._holds(backend):
             return
         for other in self._ranks_with(backend):
-            other.closure.refused(now_s)
+            other.group_state.record_refusal(now_s)
 
     def accepted(self, backend: Backend, now_s: float) -> None:
         """Note that a rank has taken a request: its group is open."""
@@ -165,11 +165,11 @@
             return
         if self.rests.takes(backend.instance, now_s):
             self._announce()
-        closure = backend.closure
-        if closure.is_proved and not closure.is_closed(now_s, True):
+        known = backend.group_state
+        if known.is_known and not known.is_closed(now_s, True):
             return
         for other in self._ranks_with(backend):
-            other.closure.tell(True, now_s)
+            other.group_state.record_report(True, now_s)
         self._opened(backend)
 
     def _holds(self, backend: Backend) -> bool:
@@ -193,7 +193,7 @@
         take up the budget of repeated sends for all gateways.
         """
         listed = self.of_service(service)
-        if any(backend.closure.is_proved for backend in listed):
+        if any(backend.group_state.is_known for backend in listed):
             return False
         return any(backend.own for backend in listed)
 
@@ -305,7 +305,7 @@
         """
         listed = self.of_service(service)
         if not listed or not all(
-            backend.closure.is_closed(now_s, was_refused=True)
+            backend.group_state.is_closed(now_s, was_refused=True)
             for backend in listed
         ):
             self._closed_s.pop(service, None)
@@ -414,7 +414,7 @@
             backend
             for backend in self._open_to_us(service, now_s)
             if backend.instance.instance_id not in tried
-            and not backend.closure.is_closed(now_s, was_refused)
+            and not backend.group_state.is_closed(now_s, was_refused)
         ]
 
     def rest_over_s(
--- a/mountridge/routing/groupstates.py
+++ b/mountridge/routing/groupstates.py
@@ -1,64 +1,72 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Whether the group of a runner takes requests, as a gateway knows it.
+"""Tracks whether the group of a runner accepts requests.
 
-All ranks of a group refuse while it is not open: for some seconds after one
-of them was lost or all have started. A request that is sent then has used up
-one of its tries, and after a start of all boxes each of them would use up all
-within 10 ms, so that its caller is refused though the group opens soon.
+All ranks of a group refuse requests while the group is closed: for some
+seconds after one of them was lost, or until all have started. Each refusal
+uses up one attempt of a request. After a start of all boxes a request would
+use up all of its attempts within milliseconds and fail, although the group
+opens soon.
 
-Three things tell: the reports of sidecars, which come at once when the state
-of the group changes, a rank that refuses a request though it has room, and
-one that takes a request.
+The state follows from the reports of sidecars, which are sent at once when
+the state of the group changes, from a rank that refuses a request though it
+has free slots, and from a rank that accepts one.
 """
 
-__all__ = ['Closure', 'HOPE_S']
+__all__ = ['GroupState', 'MAX_CLOSED_WAIT_S']
 
-#: A refusal by a rank with room stands for this long where nothing newer
-#: says more; then requests that have no try behind them find out. Above the
-#: way of a report by the leader, 0.15 s, and below the 0.6 s in which a group
-#: forms.
-REFUSED_S = 0.3
-#: A report of a closed group that is older than this says nothing: sidecars
+#: How long a refusal by a rank with free slots marks its group as closed if
+#: no newer report arrives; then requests that had no attempt yet probe it.
+#: Longer than a report takes by way of the leader, shorter than a group takes
+#: to form.
+REFUSAL_VALID_S = 0.3
+#: A report of a closed group is ignored once it is older than this. Sidecars
 #: report each 0.5 s at the latest.
-TOLD_S = 1.5
-#: A group that is closed for longer has lost a rank for good, or some have
-#: never come: nobody waits for it. After a loss of all power one opens 2.5 s
-#: after its runners have gone, after the loss of one rank 2 to 4 s.
-HOPE_S = 4.0
+REPORT_VALID_S = 1.5
+#: Requests don't wait for a group that has been closed for longer: it has
+#: lost a rank for good, or some ranks never started. Longer than a group
+#: needs to open again after the loss of a rank or of all power.
+MAX_CLOSED_WAIT_S = 4.0
 
 
-class Closure:
-    """What is known of one runner's group."""
+class GroupState:
+    """What a gateway knows of the group of one runner."""
 
     def __init__(self) -> None:
-        self._told_open = True
-        self._told_s = float('-inf')
+        self._reported_open = True
+        self._reported_s = float('-inf')
         self._refused_s = float('-inf')
 
     @property
-    def is_proved(self) -> bool:
-        """Whether anything was told of the group since this was made."""
-        return self._told_s > float('-inf')
+    def is_known(self) -> bool:
+        """Whether a report or an accepted request has shown the state."""
+        return self._reported_s > float('-inf')
 
-    def tell(self, is_open: bool, now_s: float) -> bool:
-        """Take a report; return whether it says that the group has opened."""
+    def record_report(self, is_open: bool, now_s: float) -> bool:
+        """Record a report or an accepted request.
+
+        Returns whether the group counted as closed and is now open.
+        """
         was_closed = self.is_closed(now_s, was_refused=True)
-        self._told_open = is_open
-        self._told_s = now_s
+        self._reported_open = is_open
+        self._reported_s = now_s
         return was_closed and is_open
 
-    def refused(self, now_s: float) -> None:
-        """Note that the rank refused a request though it had room."""
+    def record_refusal(self, now_s: float) -> None:
+        """Record that the rank refused a request though it had free slots."""
         self._refused_s = now_s
 
     def is_closed(self, now_s: float, was_refused: bool = False) -> bool:
         """Return whether a request sent now would likely be refused.
 
-        One that ``was_refused`` before waits for a sign that it is not.
+        For a request that ``was_refused`` before, the group counts as closed
+        until a report or an accepted request shows that it is open.
         """
-        if was_refused and not self.is_proved:
+        if was_refused and not self.is_known:
             return True
-        if self._told_s >= self._refused_s:
-            return not self._told_open and now_s - self._told_s < TOLD_S
-        return was_refused or now_s - self._refused_s < REFUSED_S
+        if self._reported_s >= self._refused_s:
+            return (
+                not self._reported_open
+                and now_s - self._reported_s < REPORT_VALID_S
+            )
+        return was_refused or now_s - self._refused_s < REFUSAL_VALID_S
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -175,7 +175,7 @@
             self._unowned_s.pop(service, None)
             return self._may_come(exchange, until_s)
         since_s = self._unowned_s.setdefault(service, now_s)
-        return now_s - since_s < groupstates.HOPE_S
+        return now_s - since_s < groupstates.MAX_CLOSED_WAIT_S
 
     def _free_s(self, exchange: Exchange, now_s: float) -> float:
         return self.known.free_s(
@@ -215,7 +215,10 @@
         if over_s is not None and over_s <= until_s:
             return True
         closed_for_s = self._closed_for_s(exchange)
-        return closed_for_s is not None and closed_for_s < groupstates.HOPE_S
+        return (
+            closed_for_s is not None
+            and closed_for_s < groupstates.MAX_CLOSED_WAIT_S
+        )
 
     def _closed_for_s(self, exchange: Exchange) -> float | None:
         """Return for how long all groups are closed, None where they aren't.
--- a/mountridge/routing/runnerstates.py
+++ b/mountridge/routing/runnerstates.py
@@ -42,7 +42,7 @@
         self.pace = 1.0
         #: Number of its group, 0 if unknown.
         self.group = 0
-        self.closure = groupstates.Closure()
+        self.group_state = groupstates.GroupState()
         self.failures = 0
         self.ejections = 0
         self.ejected_until_s = 0.0
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -569,13 +569,13 @@
     ),
     Mutant(
         'picking: a closed group is not waited for', 'picking',
-        'closed_for_s is not None and closed_for_s < groupstates.HOPE_S',
-        'False', 'forwarding', 'closed',
+        'and closed_for_s < groupstates.MAX_CLOSED_WAIT_S', 'and False',
+        'forwarding', 'closed',
     ),
     Mutant(
         'picking: a group without hope is waited for', 'picking',
-        'closed_for_s is not None and closed_for_s < groupstates.HOPE_S',
-        'closed_for_s is not None', 'forwarding', 'closed',
+        'and closed_for_s < groupstates.MAX_CLOSED_WAIT_S', '', 'forwarding',
+        'closed',
     ),
     Mutant(
         'picking: all requests find out about a view', 'picking',
@@ -593,8 +593,8 @@
     ),
     Mutant(
         'closures: who was refused tries again blindly', 'groupstates',
-        'return was_refused or now_s - self._refused_s < REFUSED_S',
-        'return now_s - self._refused_s < REFUSED_S', 'closedgroups',
+        'return was_refused or now_s - self._refused_s < REFUSAL_VALID_S',
+        'return now_s - self._refused_s < REFUSAL_VALID_S', 'closedgroups',
     ),
     Mutant(
         'forwarding: no 421 is understood', 'forwarding',
@@ -1281,7 +1281,8 @@
     ),
     Mutant(
         'picking: all owned elsewhere is waited for', 'picking',
-        'return now_s - since_s < groupstates.HOPE_S', 'return True', 'warmup',
+        'return now_s - since_s < groupstates.MAX_CLOSED_WAIT_S',
+        'return True', 'warmup',
     ),
 )  # fmt: skip
 
