--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -10,8 +10,8 @@
 
 from mountridge.documents import instances
 from mountridge import messages
-from mountridge.routing import choosing, rests, returns, runnerstates
-from mountridge.routing import warmup
+from mountridge.routing import choosing, rests, runnerstates
+from mountridge.routing import slowstart, warmup
 
 __all__ = ['Backend', 'Backends', 'LEAVE_PACE', 'Picked', 'SLOW_PACE']
 
@@ -269,7 +269,7 @@
         if not self._back_s:
             return self._back_s
         added = {
-            hall: returns.added_occupancy(now_s - back_s)
+            hall: slowstart.added_occupancy(now_s - back_s)
             for hall, back_s in self._back_s.items()
         }
         for hall, occupancy in added.items():
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1182,7 +1182,7 @@
         '        self._follow_quarantine()', 'halls', 'Two halls',
     ),
     Mutant(
-        'halls: a return is a wave', 'returns',
+        'halls: a return is a wave', 'slowstart',
         'return max(0.0, 1.0 - back_s / RAMP_S)', 'return 0.0',
         'halls', 'is a ramp',
     ),
