--- a/mountridge/routing/slowstart.py
+++ b/mountridge/routing/slowstart.py
@@ -1,27 +1,24 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""How fast the runners of a hall that was put back take up work again.
+"""Slow start for the runners of a hall that was put back in service.
 
-They are empty while the others are busy, so that all gateways would send
-there at once whatever comes next: prompts are read together on the runners
-that have just come back, while those elsewhere have slots to spare. So they
-count as occupied at first, and less from moment to moment: what finds no
-room elsewhere goes to them at once, and the rest follows.
+These runners are empty while the others are busy, so all gateways would send
+them every new request at once: their prompts would be read together, while
+runners elsewhere have free slots. So their occupancy is raised by an amount
+that falls to 0 over time. Requests that find no free slot elsewhere still go
+to them at once.
 """
 
 __all__ = ['RAMP_S', 'added_occupancy']
 
-#: From a hall's return until its runners count as they are. With 39 gateways,
-#: 72 runners of 5 slots in 3 halls, and 60 in 100 slots taken, the runners of
-#: the hall get 14 requests in the first 0.25 s where they got 54, and 23 in
-#: each later one (model in the scenarios of halls).
+#: Time from a hall's return until the occupancy of its runners counts as is.
 RAMP_S = 2.0
 
 
-def added_occupancy(back_s: float) -> float:
-    """Return what a runner's occupancy counts for above what it is.
+def added_occupancy(restored_for_s: float) -> float:
+    """Return what to add to the occupancy of a runner.
 
-    ``back_s`` is the time since its hall was put back. At first it is as if
-    all its slots were taken by others.
+    ``restored_for_s`` is the time since its hall was put back. At first the
+    result is 1, as if others had taken all of the runner's slots.
     """
-    return max(0.0, 1.0 - back_s / RAMP_S)
+    return max(0.0, 1.0 - restored_for_s / RAMP_S)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1183,7 +1183,7 @@
     ),
     Mutant(
         'halls: a return is a wave', 'slowstart',
-        'return max(0.0, 1.0 - back_s / RAMP_S)', 'return 0.0',
+        'return max(0.0, 1.0 - restored_for_s / RAMP_S)', 'return 0.0',
         'halls', 'is a ramp',
     ),
     Mutant(
