--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -254,9 +254,9 @@
     ]
     context.firsts_s, context.repeats_s = [], []
     for now_s, budget in sorted(sends, key=lambda each: each[0]):
-        budget.first('s', now_s)
+        budget.record_first('s', now_s)
         context.firsts_s.append(now_s)
-        while budget.take('s', len(context.budgets), now_s):
+        while budget.try_acquire('s', len(context.budgets), now_s):
             context.repeats_s.append(now_s)
 
 
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -185,7 +185,7 @@
                 await self.routes_known.wait()
         for each in self.filters:
             each(exchange, self.app.now_s())
-        self.budget.first(exchange.service, self.app.now_s())
+        self.budget.record_first(exchange.service, self.app.now_s())
         # trio's own clock has another origin than the application's.
         until_s = exchange.until_s + LATE_S
         with trio.move_on_after(until_s - self.app.now_s()) as scope:
@@ -279,7 +279,9 @@
             return False
         if exchange.events_sent and not route.resumable:
             return False
-        return self.budget.take(exchange.service, self._gateways(), now_s)
+        return self.budget.try_acquire(
+            exchange.service, self._gateways(), now_s
+        )
 
     async def _try(self, exchange: Exchange, picked: backends.Picked) -> None:
         """Send the request to one runner and give its answer.
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1212,7 +1212,7 @@
     ),
     Mutant(
         'budgets: no bound', 'budgets',
-        'if len(repeated) + 1 > most:', 'if False:', 'entry', 'budget',
+        'if len(retries) + 1 > quota:', 'if False:', 'entry', 'budget',
     ),
     Mutant(
         'entry: a planned stop waits for no answer', 'entry',
