--- a/bench/placing.py
+++ b/bench/placing.py
@@ -222,7 +222,7 @@
 def _entry(gateways: int, runners: int, cold_per_s: float):
     """Return what one of the gateways knows of runners in 3 halls."""
     known = backends.Backends('g-0')
-    known.rest_s = 0.2
+    known.report_interval_s = 0.2
     halls = {f'g-{n}': f'h{n % 3}' for n in range(gateways)}
     known.follow(
         instances.Instance(
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -86,7 +86,7 @@
         #: Replaced by a new one, and set, when runners come, go or open.
         self.changed = trio.Event()
         #: Usual time between two reports of one runner, as they come.
-        self.rest_s = LEAST_REST_S
+        self.report_interval_s = LEAST_REST_S
         #: When requests of late were placed, by service.
         self._placed_s: dict[str, collections.deque[float]] = {}
         #: Ids of the runners owned here, by service, and by which deal.
@@ -129,8 +129,10 @@
             return
         rested_s = now_s - backend.told_s
         if rested_s < MOST_REST_S:
-            rest_s = self.rest_s + SMOOTHING * (rested_s - self.rest_s)
-            self.rest_s = max(LEAST_REST_S, rest_s)
+            rest_s = self.report_interval_s + SMOOTHING * (
+                rested_s - self.report_interval_s
+            )
+            self.report_interval_s = max(LEAST_REST_S, rest_s)
         backend.told_s = now_s
         backend.heard(load.running, load.waiting, now_s)
         backend.pace = load.pace_percent / 100
@@ -359,7 +361,7 @@
             more = returning.get(backend.instance.hall, 0.0)
             if is_bound and backend.instance.is_cold:
                 more += COLD_COST
-            return backend.occupancy(self.rest_s, now_s) + more
+            return backend.occupancy(self.report_interval_s, now_s) + more
 
         def cost(backend: Backend) -> float:
             away = HALL_COST if backend.instance.hall != hall else 0.0
@@ -376,7 +378,7 @@
             place = int(rng.random() * (unseen + 1))
             best = choosing.select_after(sound, cost, place, rng)
         age_s = now_s - best.reported_s
-        load = best.load(self.rest_s, now_s)
+        load = best.load(self.report_interval_s, now_s)
         return Picked(best, load, age_s, len(sound), now_s)
 
     def _sound(
@@ -511,7 +513,7 @@
 
         None where reports come often enough to know all runners.
         """
-        if self.rest_s <= SELDOM_S:
+        if self.report_interval_s <= SELDOM_S:
             return None
         room = [
             (occupancy(backend), rng.random(), number)
@@ -530,5 +532,5 @@
             placed_s.popleft()
         own_per_s = len(placed_s) / RATE_S
         placed_s.append(now_s)
-        unseen_s = runnerstates.UNREPORTED_INTERVALS * self.rest_s
+        unseen_s = runnerstates.UNREPORTED_INTERVALS * self.report_interval_s
         return own_per_s * unseen_s * max(0, gateways - 1)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -435,7 +435,8 @@
     ),
     Mutant(
         'placing: no part of its own', 'backends',
-        'if self.rest_s <= SELDOM_S:', 'if True:', 'placement', 'seldom',
+        'if self.report_interval_s <= SELDOM_S:', 'if True:', 'placement',
+        'seldom',
     ),
     Mutant(
         'placing: parts of all halls', 'backends',
@@ -1190,7 +1191,7 @@
         'halls: the own part knows no ramp', 'backends',
         'best = self._of_own_part(sound, occupancy, rng)',
         '''best = self._of_own_part(
-            sound, lambda b: b.occupancy(self.rest_s, now_s), rng
+            sound, lambda b: b.occupancy(self.report_interval_s, now_s), rng
         )''',
         'halls', 'is a ramp',
     ),
