--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -396,7 +396,7 @@
 def send_to_slow(context, pace):
     async def script(world):
         def slow():
-            world.known.by_id['i-0'].pace = pace
+            world.known.by_id['i-0'].slowdown = pace
 
         world.runners[0].on_request = slow
         await _ask(context, world, 'streaming')
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -251,7 +251,7 @@
     assert picked and picked.backend.instance == context.restarted, picked
     assert picked.backend is not context.former
     assert (picked.backend.own, picked.load) == (0, 0), picked.load
-    assert picked.backend.pace == 1.0
+    assert picked.backend.slowdown == 1.0
 
 
 @then('it is taken like any other, and its address is to be forgotten')
--- a/features/steps/mapplans_steps.py
+++ b/features/steps/mapplans_steps.py
@@ -189,7 +189,7 @@
 @given('the first runner takes {times:g} times its usual time')
 def slow_runner(context, times):
     for known in context.site.known:
-        known.by_id['i-0'].pace = times
+        known.by_id['i-0'].slowdown = times
 
 
 @then('the first runner got none')
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -48,7 +48,7 @@
         """Give all gateways a report that is already old."""
         for known in self.known:
             for key, load in loads.items():
-                percent = round(100 * known.by_id[key].pace)
+                percent = round(100 * known.by_id[key].slowdown)
                 told = messages.RunnerLoad(key, load, 0, percent, 1, True)
                 known.report(told, now_s)
 
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -13,7 +13,13 @@
 from mountridge.routing import choosing, rests, runnerstates
 from mountridge.routing import slowstart, warmup
 
-__all__ = ['Backend', 'Backends', 'LEAVE_PACE', 'Picked', 'SLOW_PACE']
+__all__ = [
+    'AVOID_SLOWDOWN',
+    'Backend',
+    'Backends',
+    'MIGRATE_SLOWDOWN',
+    'Picked',
+]
 
 Backend = runnerstates.Backend
 
@@ -38,11 +44,11 @@
 #: A runner whose work takes this many times as long as usual gets requests
 #: only where all are slow: in a group all ranks wait for the slowest, and a
 #: rank with no requests has nearly nothing to do.
-SLOW_PACE = 1.25
+AVOID_SLOWDOWN = 1.25
 #: From this pace on, streams that can be resumed leave for another runner.
 #: Reading a prompt anew takes two passes; at half the speed that pays for
 #: all but the last few events.
-LEAVE_PACE = 2.0
+MIGRATE_SLOWDOWN = 2.0
 #: Occupancy that a hop to another hall is worth: bytes between halls are
 #: paid for, and 1 to 2 ms are little beside a first token of 100 ms.
 HALL_COST = 0.05
@@ -135,7 +141,7 @@
             self.report_interval_s = max(LEAST_REST_S, rest_s)
         backend.told_s = now_s
         backend.heard(load.running, load.waiting, now_s)
-        backend.pace = load.pace_percent / 100
+        backend.slowdown = load.pace_percent / 100
         backend.group = load.group
         if backend.group_state.record_report(load.is_open, now_s):
             self._opened(backend)
@@ -395,7 +401,7 @@
             if tried and self.rests.is_any_in_doubt(now_s):
                 fit = [b for b in fit if self._is_at_work(b)] or fit
         sound = [b for b in fit if b.ejected_until_s <= now_s] or fit
-        return [b for b in sound if b.pace < SLOW_PACE] or sound
+        return [b for b in sound if b.slowdown < AVOID_SLOWDOWN] or sound
 
     def _is_at_work(self, backend: Backend) -> bool:
         """Return whether a runner surely takes requests.
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -426,12 +426,14 @@
 
         :raises RunnerSlow: another runner may go on with it.
         """
-        if backend.pace < backends.LEAVE_PACE:
+        if backend.slowdown < backends.MIGRATE_SLOWDOWN:
             return
         others = self.known.of_service(exchange.service)
-        if all(other.pace >= backends.SLOW_PACE for other in others):
+        if all(other.slowdown >= backends.AVOID_SLOWDOWN for other in others):
             return
-        problem = errors.RunnerSlow(f'at {backend.pace:.1f} times its time')
+        problem = errors.RunnerSlow(
+            f'at {backend.slowdown:.1f} times its time'
+        )
         if self._may_go_on(exchange, problem):
             exchange.next_allowed = True
             raise problem
--- a/mountridge/routing/runnerstates.py
+++ b/mountridge/routing/runnerstates.py
@@ -39,7 +39,7 @@
         #: When the newest report of its sidecar arrived.
         self.told_s = float('-inf')
         #: Current step time over the usual one, as reported by its sidecar.
-        self.pace = 1.0
+        self.slowdown = 1.0
         #: Number of its group, 0 if unknown.
         self.group = 0
         self.group_state = groupstates.GroupState()
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -481,7 +481,7 @@
     ),
     Mutant(
         'placing: slow runners like others', 'backends',
-        'return [b for b in sound if b.pace < SLOW_PACE] or sound',
+        'return [b for b in sound if b.slowdown < AVOID_SLOWDOWN] or sound',
         'return sound',
         'mapplans', 'slow runner',
     ),
@@ -555,12 +555,14 @@
     ),
     Mutant(
         'forwarding: streams stay at a slow runner', 'forwarding',
-        'if backend.pace < backends.LEAVE_PACE:', 'if True:', 'forwarding',
+        'if backend.slowdown < backends.MIGRATE_SLOWDOWN:', 'if True:',
+        'forwarding',
         'becomes',
     ),
     Mutant(
         'forwarding: streams leave at any pace', 'forwarding',
-        'if backend.pace < backends.LEAVE_PACE:', 'if False:', 'forwarding',
+        'if backend.slowdown < backends.MIGRATE_SLOWDOWN:', 'if False:',
+        'forwarding',
         'becomes',
     ),
     Mutant(
