--- a/bench/placing.py
+++ b/bench/placing.py
@@ -245,8 +245,8 @@
         begun_s = time.perf_counter()
         for _ in range(PLACED):
             picked = known.pick('s', 'h0', set(), gateways, rng, now_s)
-            known.began(picked.backend, now_s).leaves(now_s)
-            picked.backend.ended()
+            known.request_started(picked.backend, now_s).leaves(now_s)
+            picked.backend.request_ended()
             now_s += 0.1
         found.append((time.perf_counter() - begun_s) / PLACED * 1e6)
     return min(found)
--- a/features/steps/closedgroups_steps.py
+++ b/features/steps/closedgroups_steps.py
@@ -50,7 +50,7 @@
 def _report_all(context, is_open):
     for number in range(len(context.known.by_id)):
         load = _load(number, 1 + number // context.ranks, is_open)
-        context.known.report(load, context.now_s)
+        context.known.record_report(load, context.now_s)
 
 
 def _pick(context, tried=frozenset(), seed=1):
@@ -64,9 +64,9 @@
 def refuse(context, group, there):
     backend = context.known.by_id[f'i-{(group - 1) * context.ranks}']
     context.now_s += 0.01
-    backend.heard(there, 0, context.now_s)
+    backend.record_load(there, 0, context.now_s)
     context.changed = context.known.changed
-    context.known.refused(backend, context.now_s)
+    context.known.record_refusal(backend, context.now_s)
 
 
 @when('{after_s:g} s go by')
@@ -83,13 +83,13 @@
 @when('a report of an open rank comes 0.1 s later')
 def report_open(context):
     context.now_s += 0.1
-    context.known.report(_load(1, 1, True), context.now_s)
+    context.known.record_report(_load(1, 1, True), context.now_s)
 
 
 @when('a rank takes a request 0.1 s later')
 def take(context):
     context.now_s += 0.1
-    context.known.accepted(context.known.by_id['i-1'], context.now_s)
+    context.known.record_acceptance(context.known.by_id['i-1'], context.now_s)
 
 
 @then('requests go to group {group:d} only')
@@ -135,7 +135,7 @@
 
 @when('a request is on its way to one of them')
 def under_way(context):
-    _pick(context).backend.began(context.now_s)
+    _pick(context).backend.request_started(context.now_s)
 
 
 @then('others are to wait for what becomes of it')
@@ -145,7 +145,7 @@
 
 @then('they need not once a report has come')
 def report_frees(context):
-    context.known.report(_load(3, 1, True), context.now_s)
+    context.known.record_report(_load(3, 1, True), context.now_s)
     assert not context.known.is_proving('s')
 
 
@@ -192,7 +192,7 @@
             for known in self.known:
                 for number in range(self.ranks):
                     load = _load(first + number, 1, True)
-                    known.report(load, trio.current_time())
+                    known.record_report(load, trio.current_time())
 
     async def callers(self, gateway, nursery):
         """Send those that waited for the process, then some a second."""
@@ -220,19 +220,19 @@
         backend = picked.backend
         number = int(backend.instance.instance_id[2:])
         exchange.tried.add(backend.instance.instance_id)
-        backend.began(trio.current_time())
+        backend.request_started(trio.current_time())
         takes = trio.current_time() >= self.opens_s
         is_gone = self.is_stale and number < FRESH
         if is_gone or not takes:
             await trio.sleep(REFUSED_S)
             backend.replaced = is_gone
-            backend.heard(0, 0, trio.current_time())
-            known.refused(backend, trio.current_time())
-            backend.ended()
+            backend.record_load(0, 0, trio.current_time())
+            known.record_refusal(backend, trio.current_time())
+            backend.request_ended()
             return False
         await trio.sleep(FIRST_S)
-        known.accepted(backend, trio.current_time())
-        backend.ended()
+        known.record_acceptance(backend, trio.current_time())
+        backend.request_ended()
         return True
 
 
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -205,7 +205,7 @@
         # So that the first one is taken first, and the last one last.
         for number in range(1, len(registered)):
             known = self.known.by_id[f'i-{number}']
-            known.heard(2 + number, 0, trio.current_time())
+            known.record_load(2 + number, 0, trio.current_time())
         self.registered = registered
         (front,) = await trio.open_tcp_listeners(0, host=HOST)
         self.port = front.socket.getsockname()[1]
@@ -291,7 +291,7 @@
 def _report(world, is_open, now_s):
     for instance_id in world.known.by_id:
         load = messages.RunnerLoad(instance_id, 0, 0, 100, 1, is_open)
-        world.known.report(load, now_s)
+        world.known.record_report(load, now_s)
 
 
 @when('a streaming request is sent and a report says that it has opened')
--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -387,7 +387,7 @@
         def report(is_open):
             for key in known.by_id:
                 load = messages.RunnerLoad(key, 0, 0, 100, 1, is_open)
-                known.report(load, trio.current_time())
+                known.record_report(load, trio.current_time())
 
         report(False)
 
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -217,17 +217,17 @@
     context.others = [_instance('b', 'Y', 990)._replace(lives=1)]
     known.follow([first, *context.others])
     former = context.former = known.by_id['a']
-    former.began(1.0)
+    former.request_started(1.0)
     if spoiled == 'left out':
-        former.failed(1.0)
-        former.failed(1.0)
+        former.record_failure(1.0)
+        former.record_failure(1.0)
     former.replaced = spoiled == 'replaced'
     if spoiled == 'refusing':
-        known.refused(former, 1.0)
+        known.record_refusal(former, 1.0)
     if spoiled == 'slow':
-        known.report(messages.RunnerLoad('a', 0, 0, 900, 0, True), 1.0)
+        known.record_report(messages.RunnerLoad('a', 0, 0, 900, 0, True), 1.0)
     if spoiled == 'full':
-        known.report(messages.RunnerLoad('a', 4, 9, 100, 0, True), 1.0)
+        known.record_report(messages.RunnerLoad('a', 4, 9, 100, 0, True), 1.0)
     context.spoiled = spoiled
 
 
@@ -267,10 +267,10 @@
 
 @when('an answer of the former life comes late')
 def late_answer(context):
-    context.former.ended()
-    context.former.failed(1.0)
+    context.former.request_ended()
+    context.former.record_failure(1.0)
     context.former.replaced = True
-    context.known.refused(context.former, 1.0)
+    context.known.record_refusal(context.former, 1.0)
 
 
 @then('it is taken like any other')
@@ -806,8 +806,8 @@
 def fails_and_restarts(context):
     _beat(context)
     former = context.known.by_id['p-0']
-    former.failed(1.0)
-    former.failed(1.0)
+    former.record_failure(1.0)
+    former.record_failure(1.0)
     former.replaced = True
     _beat(context)
     assert context.known.by_id['p-0'] is former
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -50,14 +50,14 @@
             for key, load in loads.items():
                 percent = round(100 * known.by_id[key].slowdown)
                 told = messages.RunnerLoad(key, load, 0, percent, 1, True)
-                known.report(told, now_s)
+                known.record_report(told, now_s)
 
     def send(self, number, now_s):
         """Send a request of one gateway and return its runner's id."""
         known = self.known[number]
         hall = self.halls[f'g-{number}']
         picked = known.pick('s', hall, set(), len(self.known), self.rng, now_s)
-        picked.backend.began(now_s)
+        picked.backend.request_started(now_s)
         key = picked.backend.instance.instance_id
         self.sent += 1
         self.waited += self.loads[key] >= self.slots
@@ -86,7 +86,7 @@
                 heapq.heappush(events, end)
             elif kind == 'end':
                 self.loads[key] -= 1
-                self.known[number].by_id[key].ended()
+                self.known[number].by_id[key].request_ended()
             elif kind == 'read':
                 told = (now_s + self.way_s, order, 'told', 0, dict(self.loads))
                 heapq.heappush(events, told)
--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -281,13 +281,13 @@
     context.known = backends.Backends()
     context.known.follow([rests.Runner(n).instance for n in range(4)])
     context.known.rests.ask(rests.Runner(0).instance, 1.0, 100.0)
-    context.known.by_id['i-1'].heard(2, 0, 111.0)
+    context.known.by_id['i-1'].record_load(2, 0, 111.0)
 
 
 @when('a request was turned away by the fourth, {ago_s:d} s after that')
 def turned_away(context, ago_s):
     now_s = 101.0 + ago_s
-    context.known.by_id['i-1'].heard(2, 0, now_s)
+    context.known.by_id['i-1'].record_load(2, 0, now_s)
     tried, rng = {'i-0', 'i-3'}, random.Random(1)
     context.picked = context.known.pick('s', 'north', tried, 1, rng, now_s)
 
--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -123,7 +123,7 @@
                         max(0, runner.there - SLOTS), 100, runner.group,
                         is_open,
                     )  # fmt: skip
-                    known.report(told, self.now_s())
+                    known.record_report(told, self.now_s())
 
     async def run(self, per_s):
         self.begun_s = self.now_s()
@@ -168,12 +168,12 @@
             picked = await self.pickers[name].pick(exchange)
             backend = picked.backend
             exchange.tried.add(backend.instance.instance_id)
-            send = known.began(backend, self.now_s())
+            send = known.request_started(backend, self.now_s())
             try:
                 if await self.is_taken(known, backend, send, number):
                     return
             finally:
-                backend.ended()
+                backend.request_ended()
         raise errors.RunnerRefused()
 
     async def is_taken(self, known, backend, send, number):
@@ -192,15 +192,15 @@
             if is_gone:
                 send.take_back()
             else:
-                backend.heard(runner.there, 0, self.now_s())
-            known.refused(backend, self.now_s())
+                backend.record_load(runner.there, 0, self.now_s())
+            known.record_refusal(backend, self.now_s())
             return False
         runner.there += 1
         while runner.there > SLOTS and self.rng.random() < 0.5:
             await trio.sleep(FIRST_S)
         await trio.sleep(FIRST_S)
         self.served_s[number] = self.now_s() - self.begun_s
-        known.accepted(backend, self.now_s())
+        known.record_acceptance(backend, self.now_s())
         await trio.sleep(self.rng.expovariate(1 / ANSWER_S))
         runner.there -= 1
         return True
@@ -543,7 +543,7 @@
         try:
             picked = await self.picker.pick(exchange)
             now_s = trio.current_time()
-            self.known.began(picked.backend, now_s).leaves(now_s)
+            self.known.request_started(picked.backend, now_s).leaves(now_s)
             became = picked.backend.instance.instance_id
         except errors.MountridgeError as problem:
             became = problem
@@ -647,7 +647,9 @@
         gateway = context.gateway = _Gateway1(context.runners)
         for _ in range(2):
             picked = await gateway.picker.pick(gateway.exchange())
-            send = gateway.known.began(picked.backend, trio.current_time())
+            send = gateway.known.request_started(
+                picked.backend, trio.current_time()
+            )
             if what != 'never left':
                 send.leaves(trio.current_time())
             send.take_back()
@@ -709,7 +711,7 @@
                 load = messages.RunnerLoad(
                     runner.instance_id, 1, 0, 100, 1, True
                 )
-                gateway.known.report(load, trio.current_time())
+                gateway.known.record_report(load, trio.current_time())
             await gateway.ask(number)
             for backend in gateway.known.by_id.values():
                 backend.own = 0
--- a/features/worlds/rests.py
+++ b/features/worlds/rests.py
@@ -195,7 +195,7 @@
                     self.is_open,
                 )  # fmt: skip
                 for gateway in self.gateways.values():
-                    gateway.known.report(load, self.now_s())
+                    gateway.known.record_report(load, self.now_s())
             await trio.sleep(REPORT_S)
 
     async def ask(
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -132,7 +132,7 @@
         elif isinstance(message, messages.Loads):
             now_s = self.app.now_s()
             for load in message.loads:
-                self.backends.report(load, now_s)
+                self.backends.record_report(load, now_s)
         elif isinstance(message, messages.RemoteOrder):
             self.app.start_task(self._give_order, message)
 
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -128,7 +128,7 @@
         after = {b.instance.address for b in self.by_id.values()}
         return sorted((before - after) | (before & ended))
 
-    def report(self, load: messages.RunnerLoad, now_s: float) -> None:
+    def record_report(self, load: messages.RunnerLoad, now_s: float) -> None:
         """Take what the sidecar of a runner has reported."""
         backend = self.by_id.get(load.instance_id)
         if backend is None:
@@ -140,18 +140,18 @@
             )
             self.report_interval_s = max(LEAST_REST_S, rest_s)
         backend.told_s = now_s
-        backend.heard(load.running, load.waiting, now_s)
+        backend.record_load(load.running, load.waiting, now_s)
         backend.slowdown = load.pace_percent / 100
         backend.group = load.group
         if backend.group_state.record_report(load.is_open, now_s):
             self._opened(backend)
 
-    def began(self, backend: Backend, now_s: float) -> warmup.Send:
+    def request_started(self, backend: Backend, now_s: float) -> warmup.Send:
         """Count an own request as sent to a runner."""
-        backend.began(now_s)
+        backend.request_started(now_s)
         return self.warmup.send(backend.instance, now_s)
 
-    def refused(self, backend: Backend, now_s: float) -> None:
+    def record_refusal(self, backend: Backend, now_s: float) -> None:
         """Note that a rank did not run a request.
 
         With room it refused since its group is closed, or since another
@@ -167,7 +167,7 @@
         for other in self._ranks_with(backend):
             other.group_state.record_refusal(now_s)
 
-    def accepted(self, backend: Backend, now_s: float) -> None:
+    def record_acceptance(self, backend: Backend, now_s: float) -> None:
         """Note that a rank has taken a request: its group is open."""
         if not self._holds(backend):
             return
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -242,7 +242,7 @@
         if problem.outcome != errors.NOT_RUN:
             exchange.may_have_run = True
         if not isinstance(problem, NOT_ITS_FAULT):
-            picked.backend.failed(now_s)
+            picked.backend.record_failure(now_s)
         logger.info(
             'try failed',
             request=exchange.call.request_id,
@@ -295,7 +295,7 @@
         exchange.events_at_try = exchange.events_sent
         exchange.is_under_way = True
         exchange.tried.add(backend.instance.instance_id)
-        send = self.known.began(backend, self.app.now_s())
+        send = self.known.request_started(backend, self.app.now_s())
         is_trial = self.known.rests.begin(backend.instance)
         try:
             async with self.pool.request(
@@ -315,7 +315,7 @@
                 send.take_back()
             if is_trial:
                 self.known.rests.end_trial(backend.instance)
-            backend.ended()
+            backend.request_ended()
 
     def _leaves(
         self, backend: backends.Backend, send: warmup.Send, until_s: float
@@ -364,28 +364,28 @@
         head = reply.head
         now_s = self.app.now_s()
         if head.running is not None:
-            backend.heard(head.running, head.waiting, now_s)
+            backend.record_load(head.running, head.waiting, now_s)
         if head.status == MISDIRECTED:
             backend.replaced = True
             if self.picker.has_ranks(exchange.service):
-                self.known.refused(backend, now_s)
+                self.known.record_refusal(backend, now_s)
             raise errors.RunnerReplaced(f'it answered {head.status}')
         self._hear(exchange, backend.instance, head)
         if head.not_run:
             # One that asks for rest speaks for itself, not for its group.
             is_own_word = head.rest_s is not None
             if self.picker.has_ranks(exchange.service) and not is_own_word:
-                self.known.refused(backend, now_s)
+                self.known.record_refusal(backend, now_s)
             raise errors.RunnerRefused(f'the runner answered {head.status}')
         exchange.may_have_run = True
-        self.known.accepted(backend, now_s)
+        self.known.record_acceptance(backend, now_s)
         await routedanswers.give(
             exchange,
             reply,
             self.app.now_s,
             lambda: self._leave_slow(exchange, backend),
         )
-        backend.succeeded()
+        backend.record_success()
         self.crashes.ended_well(exchange)
 
     def _hear(
--- a/mountridge/routing/runnerstates.py
+++ b/mountridge/routing/runnerstates.py
@@ -71,26 +71,26 @@
         registered = (instance.lives, instance.born_ms)
         return registered == (known.lives, known.born_ms)
 
-    def began(self, now_s: float) -> None:
+    def request_started(self, now_s: float) -> None:
         """Count a request of this gateway as sent."""
         self.own += 1
         self._started_s.append(now_s)
 
-    def ended(self) -> None:
+    def request_ended(self) -> None:
         """Count a request of this gateway as ended."""
         self.own -= 1
 
-    def heard(self, running: int, waiting: int, now_s: float) -> None:
+    def record_load(self, running: int, waiting: int, now_s: float) -> None:
         """Record a load report."""
         self.reported = running + waiting
         self.reported_s = now_s
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a complete answer, which resets failures and ejections."""
         self.failures = 0
         self.ejections = 0
 
-    def failed(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Record a failure; several in a row eject the runner."""
         self.failures += 1
         if self.failures < FAILURES:
