--- a/bench/placing.py
+++ b/bench/placing.py
@@ -224,13 +224,13 @@
     known = backends.Backends('g-0')
     known.report_interval_s = 0.2
     halls = {f'g-{n}': f'h{n % 3}' for n in range(gateways)}
-    known.follow(
+    known.update_runners(
         instances.Instance(
             f'i-{n}', 's', f'10.0.0.{n}:1', f'h{n % 3}', 'v', 5, 'ready'
         )
         for n in range(runners)
     )
-    known.follow_gateways(halls)
+    known.update_gateways(halls)
     known.warmup.follow_gateways(halls, 0.0)
     known.warmup.follow_services({'s': cold_per_s})
     return known
--- a/features/steps/closedgroups_steps.py
+++ b/features/steps/closedgroups_steps.py
@@ -43,7 +43,7 @@
     context.ranks = ranks
     context.known = backends.Backends('g-0')
     count = groups * ranks
-    context.known.follow([_rank(number) for number in range(count)])
+    context.known.update_runners([_rank(number) for number in range(count)])
     _report_all(context, True)
 
 
@@ -129,7 +129,7 @@
 def fresh_gateway(context, count):
     context.now_s = 100.0
     context.known = backends.Backends('g-0')
-    context.known.follow([_rank(number) for number in range(count)])
+    context.known.update_runners([_rank(number) for number in range(count)])
     assert not context.known.is_proving('s')
 
 
@@ -176,7 +176,7 @@
     def follow(self, first):
         """Let all gateways learn of ranks numbered from ``first``."""
         for known in self.known:
-            known.follow([_rank(first + n) for n in range(self.ranks)])
+            known.update_runners([_rank(first + n) for n in range(self.ranks)])
 
     async def run(self, opens_s):
         first = FRESH if self.is_stale else 0
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -201,7 +201,7 @@
                     instances.READY,
                 )  # fmt: skip
             )
-        self.known.follow(registered)
+        self.known.update_runners(registered)
         # So that the first one is taken first, and the last one last.
         for number in range(1, len(registered)):
             known = self.known.by_id[f'i-{number}']
@@ -345,11 +345,11 @@
 @when('a {kind} request is sent {early_s:g} s before they register')
 def send_early(context, kind, early_s):
     async def script(world):
-        world.known.follow([])
+        world.known.update_runners([])
 
         async def register():
             await trio.sleep(early_s)
-            world.known.follow(world.registered)
+            world.known.update_runners(world.registered)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(register)
--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -709,13 +709,13 @@
 def play_return(context, hall, back_s, per_s, took_s):
     site = context.site
     for known in site.known:
-        known.follow_halls({hall}, 0.0)
+        known.update_halls({hall}, 0.0)
     send = site.send
 
     def obey(number, now_s):
         if now_s >= back_s:
             for known in site.known:
-                known.follow_halls(set(), now_s)
+                known.update_halls(set(), now_s)
         return send(number, now_s)
 
     site.send = obey
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -215,7 +215,7 @@
     known = context.known = backends.Backends('g')
     first = _instance('a', 'X', 990)._replace(lives=1)
     context.others = [_instance('b', 'Y', 990)._replace(lives=1)]
-    known.follow([first, *context.others])
+    known.update_runners([first, *context.others])
     former = context.former = known.by_id['a']
     former.request_started(1.0)
     if spoiled == 'left out':
@@ -243,7 +243,7 @@
 
 
 def _follow(context, registered):
-    context.forgotten = context.known.follow(registered)
+    context.forgotten = context.known.update_runners(registered)
 
 
 def _check_taken(context):
@@ -797,7 +797,7 @@
     assert reply.status == 200, reply.body
     view = context.world.machine.view
     packed = view.under(views.INSTANCE_PREFIX).values()
-    context.forgotten = context.known.follow(
+    context.forgotten = context.known.update_runners(
         [views.unpack_instance(value) for value in packed]
     )
 
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -38,8 +38,8 @@
         self.known = []
         for name in self.halls:
             known = backends.Backends(name)
-            known.follow(listed)
-            known.follow_gateways(self.halls)
+            known.update_runners(listed)
+            known.update_gateways(self.halls)
             self.known.append(known)
         self.loads = {each.instance_id: 0 for each in listed}
         self.arrivals = collections.defaultdict(list)
@@ -167,7 +167,7 @@
         del site.halls[name]
     site.known = site.known[count:]
     for known in site.known:
-        known.follow_gateways(site.halls)
+        known.update_gateways(site.halls)
     _check_parts(site)
 
 
--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -279,7 +279,7 @@
 @given('a gateway that knows a runner that has rested, a busy and an idle one')
 def rested(context):
     context.known = backends.Backends()
-    context.known.follow([rests.Runner(n).instance for n in range(4)])
+    context.known.update_runners([rests.Runner(n).instance for n in range(4)])
     context.known.rests.ask(rests.Runner(0).instance, 1.0, 100.0)
     context.known.by_id['i-1'].record_load(2, 0, 111.0)
 
--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -91,8 +91,8 @@
         await trio.sleep(self.rng.uniform(*VIEW_S))
         own.follow_services({'s': per_s})
         own.follow_gateways(self.names, self.now_s())
-        known.follow_gateways(self.names)
-        known.follow(self.listed())
+        known.update_gateways(self.names)
+        known.update_runners(self.listed())
         service = types.SimpleNamespace(engine=routes.Engine(SLOTS, 1, 8))
         index = types.SimpleNamespace(services={'s': service})
         app = types.SimpleNamespace(
@@ -110,7 +110,7 @@
         await trio.sleep(self.rng.uniform(*REGISTER_S))
         runner.is_known = True
         for known in self.known.values():
-            known.follow(self.listed())
+            known.update_runners(self.listed())
 
     async def report(self):
         while True:
@@ -515,7 +515,7 @@
         self.own.follow_services({'s': 14.0})
         self.own.follow_gateways(_gateways(39, 3), 0.0)
         self.known = backends.Backends('g-0', self.own)
-        self.known.follow(runners)
+        self.known.update_runners(runners)
         service = types.SimpleNamespace(engine=None)
         index = types.SimpleNamespace(services={'s': service})
         app = types.SimpleNamespace(
--- a/features/worlds/rests.py
+++ b/features/worlds/rests.py
@@ -172,7 +172,7 @@
             if runner.instance.instance_id not in without
         ]
         for gateway in self.gateways.values():
-            gateway.known.follow(registered)
+            gateway.known.update_runners(registered)
 
     def play(self, script: typing.Callable) -> None:
         """Run a script on virtual time, while sidecars report."""
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -165,14 +165,14 @@
         packed = view.under(views.INSTANCE_PREFIX)
         registered = [views.unpack_instance(v) for v in packed.values()]
         gateways = self._all_gateways()
-        self.backends.follow_gateways(
+        self.backends.update_gateways(
             {m.name: m.hall for m in gateways if m.state == 'live'}
         )
         # Those that leave still send what they were given before.
         self.backends.warmup.follow_gateways(
             {m.name: m.hall for m in gateways}, self.app.now_s()
         )
-        for address in self.backends.follow(registered):
+        for address in self.backends.update_runners(registered):
             self.app.start_task(self.forwarder.pool.forget, address)
         self._tell_cold(registered)
 
@@ -197,7 +197,7 @@
         packed = self.held.view.under(views.HALL_PREFIX)
         listed = [views.unpack_hall(value) for value in packed.values()]
         out = {state.name: state for state in listed if state.is_out}
-        if not self.backends.follow_halls(set(out), self.app.now_s()):
+        if not self.backends.update_halls(set(out), self.app.now_s()):
             return
         since_s = min((state.since_s for state in out.values()), default=0.0)
         self.app.metrics.gauge('halls.out', len(out))
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -99,7 +99,7 @@
         self._owned_ids: dict[str, frozenset[str]] = {}
         self._owned_deal = 0
 
-    def follow(
+    def update_runners(
         self, registered: typing.Iterable[instances.Instance]
     ) -> list[str]:
         """Follow the view; return the addresses whose runner is no more.
@@ -218,13 +218,13 @@
         self.changed.set()
         self.changed = trio.Event()
 
-    def follow_gateways(self, halls: dict[str, str]) -> None:
+    def update_gateways(self, halls: dict[str, str]) -> None:
         """Follow the view: the hall of each gateway by its name."""
         if halls != self._gateways:
             self._gateways = dict(halls)
             self._share_out()
 
-    def follow_halls(self, out: set[str], now_s: float) -> bool:
+    def update_halls(self, out: set[str], now_s: float) -> bool:
         """Follow the view: the halls out of service; whether that is new."""
         if out == self.halls_out:
             return False
