--- a/features/steps/closedgroups_steps.py
+++ b/features/steps/closedgroups_steps.py
@@ -130,7 +130,7 @@
     context.now_s = 100.0
     context.known = backends.Backends('g-0')
     context.known.update_runners([_rank(number) for number in range(count)])
-    assert not context.known.is_proving('s')
+    assert not context.known.is_probing('s')
 
 
 @when('a request is on its way to one of them')
@@ -140,13 +140,13 @@
 
 @then('others are to wait for what becomes of it')
 def others_wait(context):
-    assert context.known.is_proving('s')
+    assert context.known.is_probing('s')
 
 
 @then('they need not once a report has come')
 def report_frees(context):
     context.known.record_report(_load(3, 1, True), context.now_s)
-    assert not context.known.is_proving('s')
+    assert not context.known.is_probing('s')
 
 
 class _Wave:
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -191,7 +191,7 @@
         self._closed_s.pop(backend.instance.service, None)
         self._announce()
 
-    def is_proving(self, service: str) -> bool:
+    def is_probing(self, service: str) -> bool:
         """Return whether one request is finding out about a service's ranks.
 
         A process that has just started holds a view that may be older than
@@ -285,7 +285,7 @@
                 del self._back_s[hall]
         return added
 
-    def is_all_out(self, service: str) -> bool:
+    def all_halls_out(self, service: str) -> bool:
         """Return whether all runners of a service are in halls that are out.
 
         That no request can be served is then known, and none need wait.
@@ -425,7 +425,7 @@
             and not backend.group_state.is_closed(now_s, was_refused)
         ]
 
-    def rest_over_s(
+    def backoff_over_s(
         self, service: str, tried: set[str], was_refused: bool, now_s: float
     ) -> float | None:
         """Return when the first of the runners that rest may get a request.
@@ -474,7 +474,7 @@
         """Return whether any runner may get requests from this gateway."""
         return bool(self._open_to_us(service, now_s))
 
-    def free_s(
+    def next_free_s(
         self, service: str, tried: set[str], was_refused: bool, now_s: float
     ) -> float:
         """Return when `pick` finds a runner that can turn cold.
@@ -485,7 +485,7 @@
         sound = self._sound(service, tried, was_refused, now_s)
         return self.warmup.turn_s([b.instance for b in sound], 0, now_s)
 
-    def turn_s(
+    def earliest_send_s(
         self, service: str, tried: set[str], ahead: int, now_s: float
     ) -> float:
         """Return when a request can go to a runner that can turn cold.
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -137,7 +137,7 @@
         while True:
             now_s = self._app.now_s()
             ahead = line.ahead(place) if place else 0
-            turn_s = self.known.turn_s(
+            turn_s = self.known.earliest_send_s(
                 exchange.service, exchange.tried, ahead, now_s
             )
             if turn_s != warmup.NEVER and turn_s > until_s:
@@ -178,7 +178,7 @@
         return now_s - since_s < groupstates.MAX_CLOSED_WAIT_S
 
     def _free_s(self, exchange: Exchange, now_s: float) -> float:
-        return self.known.free_s(
+        return self.known.next_free_s(
             exchange.service,
             exchange.tried,
             self._was_refused(exchange),
@@ -207,7 +207,7 @@
 
         Of those that rest it is known when they may get requests again.
         """
-        if self.known.is_all_out(exchange.service):
+        if self.known.all_halls_out(exchange.service):
             return False
         if not self._known(exchange) or self._is_proving(exchange):
             return True
@@ -231,7 +231,7 @@
         return self.known.closed_for_s(exchange.service, now_s)
 
     def _none_left(self, exchange: Exchange) -> errors.MountridgeError:
-        if self.known.is_all_out(exchange.service):
+        if self.known.all_halls_out(exchange.service):
             out = ', '.join(sorted(self.known.halls_out))
             return errors.HallsOut(f'out of service: {out}')
         closed_for_s = self._closed_for_s(exchange)
@@ -249,7 +249,7 @@
 
     def _rest_over_s(self, exchange: Exchange) -> float | None:
         """Return when the first runner that rests may get the request."""
-        return self.known.rest_over_s(
+        return self.known.backoff_over_s(
             exchange.service,
             exchange.tried,
             self._was_refused(exchange),
@@ -268,7 +268,7 @@
     def _is_proving(self, exchange: Exchange) -> bool:
         """Return whether another request finds out about the ranks."""
         service = exchange.service
-        return self.has_ranks(service) and self.known.is_proving(service)
+        return self.has_ranks(service) and self.known.is_probing(service)
 
     def _choose(
         self, exchange: Exchange, now_s: float
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -582,7 +582,7 @@
     ),
     Mutant(
         'picking: all requests find out about a view', 'picking',
-        'return self.has_ranks(service) and self.known.is_proving(service)',
+        'return self.has_ranks(service) and self.known.is_probing(service)',
         'return False', 'closedgroups',
     ),
     Mutant(
@@ -1173,7 +1173,7 @@
     ),
     Mutant(
         'halls: requests wait where all are out', 'picking',
-        '''if self.known.is_all_out(exchange.service):
+        '''if self.known.all_halls_out(exchange.service):
             return False''',
         '''if False:
             return False''',
