--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -63,8 +63,8 @@
     backend: Backend
     load: int
     report_age_s: float
-    among: int  # runners that could have been taken
-    placed_s: float
+    candidates: int  # runners that could have been taken
+    picked_s: float
 
 
 class Backends:
--- a/mountridge/routing/routedexchanges.py
+++ b/mountridge/routing/routedexchanges.py
@@ -87,7 +87,7 @@
         'cold': backend.instance.is_cold,
         'load': picked.load,
         'load_age_ms': ms(min(picked.report_age_s, 999)),
-        'among': picked.among,
+        'among': picked.candidates,
     }
 
 
