--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -147,7 +147,9 @@
 
 def _check_parts(site):
     parts = [
-        (known.name, key) for known in site.known for key in known.own_part()
+        (known.name, key)
+        for known in site.known
+        for key in known.preferred_ids()
     ]
     assert sorted(key for _, key in parts) == sorted(site.loads)
     for name, key in parts:
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a gateway knows of the runners that registered, and which it takes."""
+"""Tracks the registered runners and selects one for each request."""
 
 import collections
 import random
@@ -23,89 +23,87 @@
 
 Backend = runnerstates.Backend
 
-#: Least time between two reports of one runner, and weight of the newest in
-#: the usual one. The leader lets many runners report more seldom.
-LEAST_REST_S = 0.12
+#: Least usual time between two reports of one runner, and the weight of the
+#: newest interval in it. With many runners the leader asks for longer ones.
+MIN_REPORT_INTERVAL_S = 0.12
 SMOOTHING = 0.05
-#: Where reports rest longer than this, a gateway fills its own part of the
-#: runners of its hall first, whose requests it knows itself, up to this part
-#: of their slots. With 103 gateways, 192 runners of 3 slots of which 60 in
-#: 100 are taken, and reports each 0.5 s, 7 in 100 requests then wait for a
-#: slot where 12 did, and with 37 gateways, 72 runners of 5 slots and reports
-#: each 0.2 s 0.1 where 0.7 did (model in the scenarios of placing). Where
-#: reports come each 0.12 s to 9 gateways, own parts made more wait.
-SELDOM_S = 0.15
-PART_FULL = 0.7
-#: No two reports of a runner that is well are further apart.
-MOST_REST_S = 2.0
-#: Span over which this gateway counts its own requests, to tell how many
-#: the others send: long enough for some, shorter than bursts last.
-RATE_S = 1.0
-#: A runner whose work takes this many times as long as usual gets requests
-#: only where all are slow: in a group all ranks wait for the slowest, and a
-#: rank with no requests has nearly nothing to do.
+#: Where the report interval is longer than this, a gateway first fills its
+#: preferred subset of the runners in its hall, up to an occupancy of
+#: `SUBSET_FULL`: it knows its own requests there without a report. With more
+#: frequent reports to few gateways, subsets make more requests wait.
+FREQUENT_REPORT_S = 0.15
+SUBSET_FULL = 0.7
+#: Longer gaps between reports are outages, not intervals.
+MAX_REPORT_INTERVAL_S = 2.0
+#: Window in which this gateway counts its own requests, to estimate how many
+#: the others send: long enough for a few, shorter than bursts last.
+RATE_WINDOW_S = 1.0
+#: A runner with at least this slowdown gets requests only if all are slow: in
+#: a group all ranks wait for the slowest, and a rank without requests has
+#: little to do.
 AVOID_SLOWDOWN = 1.25
-#: From this pace on, streams that can be resumed leave for another runner.
-#: Reading a prompt anew takes two passes; at half the speed that pays for
-#: all but the last few events.
+#: From this slowdown on, streams that can be resumed move to another runner.
+#: Reading the prompt again takes about two forward passes.
 MIGRATE_SLOWDOWN = 2.0
-#: Occupancy that a hop to another hall is worth: bytes between halls are
-#: paid for, and 1 to 2 ms are little beside a first token of 100 ms.
+#: Occupancy that a hop to another hall is worth: traffic between halls is
+#: charged for, while its delay is small beside the time to a first token.
 HALL_COST = 0.05
-#: Occupancy that a runner counts as busier while it is cold, and slower: one
-#: of five slots. In a group all ranks wait for the slowest.
+#: Occupancy added for a cold runner, which is slower: in a group all ranks
+#: wait for the slowest.
 COLD_COST = 0.2
 
 
 class Picked(typing.NamedTuple):
-    """A runner and why it was taken, for the log line."""
+    """The selected runner and the grounds for it, for the log line."""
 
     backend: Backend
     load: int
     report_age_s: float
-    candidates: int  # runners that could have been taken
+    candidates: int  # runners that were considered
     picked_s: float
 
 
 class Backends:
-    """All runners of all services, following the view."""
+    """All runners of all services, updated from the view."""
 
     def __init__(
-        self, name: str = '', bound: warmup.Warmup | None = None
+        self, name: str = '', limits: warmup.Warmup | None = None
     ) -> None:
-        #: The gateway that this is, by whose name it has its own part.
+        #: The name of this gateway, which decides its preferred subset.
         self.name = name
-        #: Its part of the requests to runners that can turn cold.
-        self.warmup = bound or warmup.Warmup(name)
-        #: What runners have asked of this gateway.
+        #: This gateway's share of the requests to runners that can turn cold.
+        self.warmup = limits or warmup.Warmup(name)
+        #: Backoff and drain states that runners have sent to this gateway.
         self.rests = rests.Rests()
         self._gateways: dict[str, str] = {}
-        self._own_part: set[str] = set()
+        self._preferred: set[str] = set()
         #: Halls that are out of service.
         self.halls_out: set[str] = set()
-        #: When halls were put back, of those that came back of late.
-        self._back_s: dict[str, float] = {}
+        #: When each hall in its slow start was put back.
+        self._restored_s: dict[str, float] = {}
         self.by_id: dict[str, Backend] = {}
         self._by_service: dict[str, list[Backend]] = {}
         #: Since when all runners of a service are closed.
-        self._closed_s: dict[str, float] = {}
-        #: Replaced by a new one, and set, when runners come, go or open.
+        self._closed_since_s: dict[str, float] = {}
+        #: Set, and replaced by a new one, when the runners that can be
+        #: selected change.
         self.changed = trio.Event()
-        #: Usual time between two reports of one runner, as they come.
-        self.report_interval_s = LEAST_REST_S
-        #: When requests of late were placed, by service.
-        self._placed_s: dict[str, collections.deque[float]] = {}
-        #: Ids of the runners owned here, by service, and by which deal.
+        #: Usual time between two reports of one runner, as they arrive.
+        self.report_interval_s = MIN_REPORT_INTERVAL_S
+        #: Times of recent selections, by service.
+        self._picked_s: dict[str, collections.deque[float]] = {}
+        #: Ids of the runners owned by this gateway, by service, and the
+        #: generation of the assignment that they are from.
         self._owned_ids: dict[str, frozenset[str]] = {}
-        self._owned_deal = 0
+        self._owned_generation = 0
 
     def update_runners(
         self, registered: typing.Iterable[instances.Instance]
     ) -> list[str]:
-        """Follow the view; return the addresses whose runner is no more.
+        """Apply the view; return the addresses whose incarnation has ended.
 
-        A new life of a runner knows nothing of the one before, and nothing
-        that was counted or closed for that one says anything of it.
+        A new incarnation of a runner starts without the load, failures and
+        group state of the one before.
         """
         before = {b.instance.address for b in self.by_id.values()}
         known = self.by_id
@@ -123,144 +121,143 @@
             self.by_id[instance.instance_id] = backend
             listed = self._by_service.setdefault(instance.service, [])
             listed.append(backend)
-        self._share_out()
-        self._announce()
+        self._assign_subset()
+        self._wake_waiters()
         after = {b.instance.address for b in self.by_id.values()}
         return sorted((before - after) | (before & ended))
 
     def record_report(self, load: messages.RunnerLoad, now_s: float) -> None:
-        """Take what the sidecar of a runner has reported."""
+        """Record a report from the sidecar of a runner."""
         backend = self.by_id.get(load.instance_id)
         if backend is None:
             return
-        rested_s = now_s - backend.told_s
-        if rested_s < MOST_REST_S:
-            rest_s = self.report_interval_s + SMOOTHING * (
-                rested_s - self.report_interval_s
+        newest_s = now_s - backend.sidecar_report_s
+        if newest_s < MAX_REPORT_INTERVAL_S:
+            interval_s = self.report_interval_s + SMOOTHING * (
+                newest_s - self.report_interval_s
             )
-            self.report_interval_s = max(LEAST_REST_S, rest_s)
-        backend.told_s = now_s
+            self.report_interval_s = max(MIN_REPORT_INTERVAL_S, interval_s)
+        backend.sidecar_report_s = now_s
         backend.record_load(load.running, load.waiting, now_s)
         backend.slowdown = load.pace_percent / 100
         backend.group = load.group
         if backend.group_state.record_report(load.is_open, now_s):
-            self._opened(backend)
+            self._group_opened(backend)
 
     def request_started(self, backend: Backend, now_s: float) -> warmup.Send:
-        """Count an own request as sent to a runner."""
+        """Count a request of this gateway as sent to a runner."""
         backend.request_started(now_s)
         return self.warmup.send(backend.instance, now_s)
 
     def record_refusal(self, backend: Backend, now_s: float) -> None:
-        """Note that a rank did not run a request.
+        """Record that a rank did not run a request.
 
-        With room it refused since its group is closed, or since another
-        runner has its address, which closes the group until that one has
-        joined. So it is with all other ranks of that group, or all of whose
-        groups nothing is known.
+        A rank with free slots refuses because its group is closed, or because
+        another runner has taken its address, which closes the group until
+        that one has joined. The refusal then counts for all known ranks of
+        the group; ranks whose group is unknown count as one group.
         """
         is_full = backend.reported >= backend.instance.slots
         if is_full and not backend.replaced:
             return
-        if not self._holds(backend):
+        if not self._is_current(backend):
             return
-        for other in self._ranks_with(backend):
+        for other in self._ranks_in_group(backend):
             other.group_state.record_refusal(now_s)
 
     def record_acceptance(self, backend: Backend, now_s: float) -> None:
-        """Note that a rank has taken a request: its group is open."""
-        if not self._holds(backend):
+        """Record that a rank has accepted a request: its group is open."""
+        if not self._is_current(backend):
             return
         if self.rests.takes(backend.instance, now_s):
-            self._announce()
-        known = backend.group_state
-        if known.is_known and not known.is_closed(now_s, True):
+            self._wake_waiters()
+        state = backend.group_state
+        if state.is_known and not state.is_closed(now_s, True):
             return
-        for other in self._ranks_with(backend):
+        for other in self._ranks_in_group(backend):
             other.group_state.record_report(True, now_s)
-        self._opened(backend)
+        self._group_opened(backend)
 
-    def _holds(self, backend: Backend) -> bool:
-        """Return whether a runner is held, and no later life of it.
+    def _is_current(self, backend: Backend) -> bool:
+        """Return whether this is the known incarnation of a runner.
 
-        What a former life answers late says nothing of the group now.
+        A delayed answer of an earlier one says nothing about the group now.
         """
         return self.by_id.get(backend.instance.instance_id) is backend
 
-    def _opened(self, backend: Backend) -> None:
-        self._closed_s.pop(backend.instance.service, None)
-        self._announce()
+    def _group_opened(self, backend: Backend) -> None:
+        self._closed_since_s.pop(backend.instance.service, None)
+        self._wake_waiters()
 
     def is_probing(self, service: str) -> bool:
-        """Return whether one request is finding out about a service's ranks.
+        """Return whether one request is probing the ranks of a service.
 
-        A process that has just started holds a view that may be older than
-        all runners: after a loss of all power each of those in the view has
-        ended. So one request is sent, and others wait for what becomes of
-        it, or for a report: sent together, their second tries alone would
-        take up the budget of repeated sends for all gateways.
+        The view of a process that has just started may be older than all
+        runners, for example after a loss of all power. Until a report or an
+        answer arrives, one request is sent and the others wait: sent
+        together, their retries would use up the retry budget of all gateways.
         """
         listed = self.of_service(service)
         if any(backend.group_state.is_known for backend in listed):
             return False
         return any(backend.own for backend in listed)
 
-    def _ranks_with(self, backend: Backend) -> list[Backend]:
-        """Return the ranks of a rank's group, as far as is known."""
+    def _ranks_in_group(self, backend: Backend) -> list[Backend]:
+        """Return the known ranks of a rank's group, itself among them."""
         return [
             other
             for other in self.of_service(backend.instance.service)
             if other.group == backend.group
         ]
 
-    def _announce(self) -> None:
-        """Wake those that wait for a runner."""
+    def _wake_waiters(self) -> None:
+        """Wake the requests that wait for a runner."""
         self.changed.set()
         self.changed = trio.Event()
 
     def update_gateways(self, halls: dict[str, str]) -> None:
-        """Follow the view: the hall of each gateway by its name."""
+        """Apply the view: the hall of each gateway by its name."""
         if halls != self._gateways:
             self._gateways = dict(halls)
-            self._share_out()
+            self._assign_subset()
 
     def update_halls(self, out: set[str], now_s: float) -> bool:
-        """Follow the view: the halls out of service; whether that is new."""
+        """Apply the view: the halls out of service; return if it changed."""
         if out == self.halls_out:
             return False
         for hall in self.halls_out - out:
-            self._back_s[hall] = now_s
+            self._restored_s[hall] = now_s
         self.halls_out = out
-        self._announce()
+        self._wake_waiters()
         return True
 
-    def own_part(self) -> set[str]:
+    def preferred_ids(self) -> set[str]:
         """Return the ids of the runners that this gateway fills first."""
-        return self._own_part
+        return self._preferred
 
-    def _share_out(self) -> None:
-        """Deal the runners of this gateway's hall to its gateways in turn."""
-        self._own_part = set()
+    def _assign_subset(self) -> None:
+        """Divide the runners of this gateway's hall among its gateways."""
+        self._preferred = set()
         self._owned_ids.clear()
         hall = self._gateways.get(self.name)
         if hall is None:
             return
-        near = sorted(n for n, h in self._gateways.items() if h == hall)
-        place = near.index(self.name)
+        local = sorted(n for n, h in self._gateways.items() if h == hall)
+        position = local.index(self.name)
         for listed in self._by_service.values():
             ids = sorted(
                 backend.instance.instance_id
                 for backend in listed
                 if backend.instance.hall == hall
             )
-            self._own_part.update(ids[place :: len(near)])
+            self._preferred.update(ids[position :: len(local)])
 
     def of_service(self, service: str) -> list[Backend]:
         """Return the runners of a service that may get requests.
 
-        Those that leave and those in halls out of service get none.
+        Draining runners and those in halls out of service get none.
         """
-        listed = self._staying(service)
+        listed = self._not_draining(service)
         if not self.halls_out:
             return listed
         return [
@@ -269,32 +266,32 @@
             if backend.instance.hall not in self.halls_out
         ]
 
-    def _returning(self, now_s: float) -> dict[str, float]:
-        """Return what the runners of a hall count for above what they are.
+    def _slow_start(self, now_s: float) -> dict[str, float]:
+        """Return what to add to the occupancy of runners, by hall.
 
-        Only halls that were put back of late are in it.
+        Has the halls that were put back recently, and no others.
         """
-        if not self._back_s:
-            return self._back_s
+        if not self._restored_s:
+            return self._restored_s
         added = {
-            hall: slowstart.added_occupancy(now_s - back_s)
-            for hall, back_s in self._back_s.items()
+            hall: slowstart.added_occupancy(now_s - restored_s)
+            for hall, restored_s in self._restored_s.items()
         }
         for hall, occupancy in added.items():
             if not occupancy:
-                del self._back_s[hall]
+                del self._restored_s[hall]
         return added
 
     def all_halls_out(self, service: str) -> bool:
         """Return whether all runners of a service are in halls that are out.
 
-        That no request can be served is then known, and none need wait.
+        If so, requests fail at once instead of waiting for a runner.
         """
         if not self.halls_out or self.of_service(service):
             return False
-        return bool(self._staying(service))
+        return bool(self._not_draining(service))
 
-    def _staying(self, service: str) -> list[Backend]:
+    def _not_draining(self, service: str) -> list[Backend]:
         listed = [
             backend
             for backend in self._by_service.get(service, [])
@@ -307,18 +304,18 @@
         return [b for b in listed if not is_leaving(b.instance)]
 
     def closed_for_s(self, service: str, now_s: float) -> float | None:
-        """Return for how long no rank of a service has taken requests.
+        """Return for how long all groups of a service have been closed.
 
-        None where one does, or where there is none.
+        None if one is open, or if the service has no runner.
         """
         listed = self.of_service(service)
         if not listed or not all(
             backend.group_state.is_closed(now_s, was_refused=True)
             for backend in listed
         ):
-            self._closed_s.pop(service, None)
+            self._closed_since_s.pop(service, None)
             return None
-        return now_s - self._closed_s.setdefault(service, now_s)
+        return now_s - self._closed_since_s.setdefault(service, now_s)
 
     def pick(
         self,
@@ -330,97 +327,97 @@
         now_s: float,
         was_refused: bool = False,
     ) -> Picked | None:
-        """Return the runner for a request; None where there is none.
+        """Return the runner for a request; None if there is none.
 
-        Those in ``tried`` have had the request and are not taken again, and
-        those whose group is closed would refuse it. Where a rank has done so
-        with this request, ``was_refused``, only groups that are known to be
-        open get it.
-        Runners left out for failures are taken only where all are.
+        Runners in ``tried`` have had the request already and are excluded, as
+        are those whose group is closed. After a rank has refused the request
+        (``was_refused``), only groups that are known to be open are selected.
+        Ejected runners are selected only if all are ejected.
 
-        The ``gateways`` all see the same reports, and would all take the
-        least loaded runner until the next ones come. So each takes a place
-        drawn from those that all their unseen requests will fill.
+        All ``gateways`` see the same reports and would all select the least
+        loaded runner until the next ones arrive. So each selects as if a
+        random number of the others' unreported requests had gone before.
         """
-        sound = self._sound(service, tried, was_refused, now_s)
+        healthy = self._healthy(service, tried, was_refused, now_s)
         if self.warmup.is_bound(service):
             is_free = self.warmup.is_free
-            sound = [b for b in sound if is_free(b.instance, now_s)]
-        if not sound:
+            healthy = [b for b in healthy if is_free(b.instance, now_s)]
+        if not healthy:
             return None
-        return self._best(service, hall, sound, gateways, rng, now_s)
+        return self._best(service, hall, healthy, gateways, rng, now_s)
 
     def _best(
         self,
         service: str,
         hall: str,
-        sound: list[Backend],
+        candidates: list[Backend],
         gateways: int,
         rng: random.Random,
         now_s: float,
     ) -> Picked:
-        """Return which of the runners that may be taken gets a request."""
+        """Return which of the candidates gets a request."""
         is_bound = self.warmup.is_bound(service)
-        returning = self._returning(now_s)
+        slow_start = self._slow_start(now_s)
 
         def occupancy(backend: Backend) -> float:
-            more = returning.get(backend.instance.hall, 0.0)
+            added = slow_start.get(backend.instance.hall, 0.0)
             if is_bound and backend.instance.is_cold:
-                more += COLD_COST
-            return backend.occupancy(self.report_interval_s, now_s) + more
+                added += COLD_COST
+            return backend.occupancy(self.report_interval_s, now_s) + added
 
         def cost(backend: Backend) -> float:
-            away = HALL_COST if backend.instance.hall != hall else 0.0
-            return occupancy(backend) + away
+            hop = HALL_COST if backend.instance.hall != hall else 0.0
+            return occupancy(backend) + hop
 
-        unseen = self._others_unseen(service, gateways, now_s)
-        best = self._of_own_part(sound, occupancy, rng)
+        unreported = self._others_unreported(service, gateways, now_s)
+        best = self._pick_preferred(candidates, occupancy, rng)
         if best is None and is_bound:
-            near = [b for b in sound if b.instance.hall == hall]
-            sound = [b for b in near if cost(b) < PART_FULL] or sound
-            # The others' go to all runners, not only to those owned here.
-            unseen *= len(sound) / len(self._by_service[service])
+            local = [b for b in candidates if b.instance.hall == hall]
+            candidates = [
+                b for b in local if cost(b) < SUBSET_FULL
+            ] or candidates
+            # Requests of others go to all runners, not only to those that
+            # this gateway owns.
+            unreported *= len(candidates) / len(self._by_service[service])
         if best is None:
-            place = int(rng.random() * (unseen + 1))
-            best = choosing.select_after(sound, cost, place, rng)
+            preceding = int(rng.random() * (unreported + 1))
+            best = choosing.select_after(candidates, cost, preceding, rng)
         age_s = now_s - best.reported_s
         load = best.load(self.report_interval_s, now_s)
-        return Picked(best, load, age_s, len(sound), now_s)
+        return Picked(best, load, age_s, len(candidates), now_s)
 
-    def _sound(
+    def _healthy(
         self, service: str, tried: set[str], was_refused: bool, now_s: float
     ) -> list[Backend]:
-        """Return the runners that would take a request and are well.
+        """Return the healthy runners that would accept a request.
 
-        Those that are not well are among them only where all are so.
+        Ejected and slow ones are included only if there are no others.
         """
-        fit = self._willing(service, tried, was_refused, now_s)
+        fit = self._accepting(service, tried, was_refused, now_s)
         if self.rests:
             may_place = self.rests.may_place
             fit = [b for b in fit if may_place(b.instance, now_s)]
             if tried and self.rests.is_any_in_doubt(now_s):
-                fit = [b for b in fit if self._is_at_work(b)] or fit
-        sound = [b for b in fit if b.ejected_until_s <= now_s] or fit
-        return [b for b in sound if b.slowdown < AVOID_SLOWDOWN] or sound
+                fit = [b for b in fit if self._is_working(b)] or fit
+        healthy = [b for b in fit if b.ejected_until_s <= now_s] or fit
+        return [b for b in healthy if b.slowdown < AVOID_SLOWDOWN] or healthy
 
-    def _is_at_work(self, backend: Backend) -> bool:
-        """Return whether a runner surely takes requests.
+    def _is_working(self, backend: Backend) -> bool:
+        """Return whether a runner has requests, thus accepts them.
 
-        While some turn all away, an idle one may be another of them, and a
-        request that was turned away has few tries left. With 5 of 16 that
-        do so, 2 tries and 0.8 requests at once on each other one, 0 of 560
-        requests are refused where 9 were (scenarios of rests).
+        While some runners refuse all requests, an idle one may be another of
+        them, and a request that was refused has few attempts left.
         """
         is_busy = backend.own > 0 or backend.reported > 0
         return is_busy and not self.rests.is_doubtful(backend.instance)
 
-    def _willing(
+    def _accepting(
         self, service: str, tried: set[str], was_refused: bool, now_s: float
     ) -> list[Backend]:
-        """Return the runners that would take a request, but for rests."""
+        """Return the runners that would accept a request, backoff aside."""
         return [
             backend
-            for backend in self._open_to_us(service, now_s)
+            for backend in self._assigned(service, now_s)
             if backend.instance.instance_id not in tried
             and not backend.group_state.is_closed(now_s, was_refused)
         ]
@@ -428,23 +425,23 @@
     def backoff_over_s(
         self, service: str, tried: set[str], was_refused: bool, now_s: float
     ) -> float | None:
-        """Return when the first of the runners that rest may get a request.
+        """Return when the first runner that backs off may get a request.
 
-        None where none rests of those that would take it.
+        None if none of those that would accept it backs off.
         """
         if not self.rests:
             return None
-        willing = self._willing(service, tried, was_refused, now_s)
+        accepting = self._accepting(service, tried, was_refused, now_s)
         return min(
             (
                 max(now_s, self.rests.until_s(backend.instance))
-                for backend in willing
+                for backend in accepting
                 if not self.rests.may_place(backend.instance, now_s)
             ),
             default=None,
         )
 
-    def _open_to_us(self, service: str, now_s: float) -> list[Backend]:
+    def _assigned(self, service: str, now_s: float) -> list[Backend]:
         """Return the runners that may get requests from this gateway."""
         listed = self.of_service(service)
         if not self.warmup.is_bound(service):
@@ -455,12 +452,12 @@
     def _owned(self, service: str, now_s: float) -> frozenset[str]:
         """Return the ids of runners of which this gateway is an owner.
 
-        Kept until gateways or runners change: looked up for each of 72
-        runners, they would take half of the time of placing.
+        Cached until gateways or runners change: a lookup per runner and
+        request would take a large part of the time of a selection.
         """
-        deal = self.warmup.deal(now_s)
-        if self._owned_deal != deal:
-            self._owned_deal = deal
+        generation = self.warmup.deal(now_s)
+        if self._owned_generation != generation:
+            self._owned_generation = generation
             self._owned_ids.clear()
         if service not in self._owned_ids:
             self._owned_ids[service] = frozenset(
@@ -472,27 +469,26 @@
 
     def owns_any(self, service: str, now_s: float) -> bool:
         """Return whether any runner may get requests from this gateway."""
-        return bool(self._open_to_us(service, now_s))
+        return bool(self._assigned(service, now_s))
 
     def next_free_s(
         self, service: str, tried: set[str], was_refused: bool, now_s: float
     ) -> float:
-        """Return when `pick` finds a runner that can turn cold.
+        """Return when `pick` can select a runner that can turn cold.
 
-        `warmup.NEVER` where there is none, as far as is known, that this
-        gateway may send any to.
+        `warmup.NEVER` if this gateway knows of none that it may send to.
         """
-        sound = self._sound(service, tried, was_refused, now_s)
-        return self.warmup.turn_s([b.instance for b in sound], 0, now_s)
+        healthy = self._healthy(service, tried, was_refused, now_s)
+        return self.warmup.turn_s([b.instance for b in healthy], 0, now_s)
 
     def earliest_send_s(
         self, service: str, tried: set[str], ahead: int, now_s: float
     ) -> float:
         """Return when a request can go to a runner that can turn cold.
 
-        Requests ``ahead`` are sent before. That is at the earliest: it counts
-        on those that refuse or fail at present, and on those that will
-        register where another one has stood.
+        ``ahead`` other requests are sent before it. This is a lower bound: it
+        includes runners that refuse or fail at present and those whose
+        address another runner has taken, which will register again.
         """
         runners = [
             backend.instance
@@ -503,40 +499,42 @@
         ]
         return self.warmup.turn_s(runners, ahead, now_s)
 
-    def _is_own(self, instance: instances.Instance) -> bool:
+    def _is_preferred(self, instance: instances.Instance) -> bool:
         """Return whether this gateway fills a runner first."""
         if self.warmup.is_bound(instance.service):
             return self.warmup.is_first(instance)
-        return instance.instance_id in self._own_part
+        return instance.instance_id in self._preferred
 
-    def _of_own_part(
+    def _pick_preferred(
         self,
-        fit: list[Backend],
+        candidates: list[Backend],
         occupancy: typing.Callable[[Backend], float],
         rng: random.Random,
     ) -> Backend | None:
-        """Return the least occupied runner of the own part that has room.
+        """Return the least occupied preferred runner that is not full.
 
-        None where reports come often enough to know all runners.
+        None if there is none, or if reports are frequent.
         """
-        if self.report_interval_s <= SELDOM_S:
+        if self.report_interval_s <= FREQUENT_REPORT_S:
             return None
-        room = [
+        found = [
             (occupancy(backend), rng.random(), number)
-            for number, backend in enumerate(fit)
-            if self._is_own(backend.instance)
+            for number, backend in enumerate(candidates)
+            if self._is_preferred(backend.instance)
         ]
-        room = [each for each in room if each[0] < PART_FULL]
-        return fit[min(room)[2]] if room else None
+        found = [each for each in found if each[0] < SUBSET_FULL]
+        return candidates[min(found)[2]] if found else None
 
-    def _others_unseen(
+    def _others_unreported(
         self, service: str, gateways: int, now_s: float
     ) -> float:
-        """Count a request; return those of others that no report has yet."""
-        placed_s = self._placed_s.setdefault(service, collections.deque())
-        while placed_s and placed_s[0] < now_s - RATE_S:
-            placed_s.popleft()
-        own_per_s = len(placed_s) / RATE_S
-        placed_s.append(now_s)
-        unseen_s = runnerstates.UNREPORTED_INTERVALS * self.report_interval_s
-        return own_per_s * unseen_s * max(0, gateways - 1)
+        """Count a request; return the estimate of others' unreported ones."""
+        picked_s = self._picked_s.setdefault(service, collections.deque())
+        while picked_s and picked_s[0] < now_s - RATE_WINDOW_S:
+            picked_s.popleft()
+        own_per_s = len(picked_s) / RATE_WINDOW_S
+        picked_s.append(now_s)
+        unreported_s = (
+            runnerstates.UNREPORTED_INTERVALS * self.report_interval_s
+        )
+        return own_per_s * unreported_s * max(0, gateways - 1)
--- a/mountridge/routing/runnerstates.py
+++ b/mountridge/routing/runnerstates.py
@@ -37,7 +37,7 @@
         self.reported = 0  # running and waiting, by the newest load report
         self.reported_s = float('-inf')
         #: When the newest report of its sidecar arrived.
-        self.told_s = float('-inf')
+        self.sidecar_report_s = float('-inf')
         #: Current step time over the usual one, as reported by its sidecar.
         self.slowdown = 1.0
         #: Number of its group, 0 if unknown.
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -430,13 +430,13 @@
     ),
     Mutant(
         'placing: others send nothing', 'backends',
-        'return own_per_s * unseen_s * max(0, gateways - 1)', 'return 0.0',
-        'placement',
+        'return own_per_s * unreported_s * max(0, gateways - 1)',
+        'return 0.0', 'placement',
     ),
     Mutant(
         'placing: no part of its own', 'backends',
-        'if self.report_interval_s <= SELDOM_S:', 'if True:', 'placement',
-        'seldom',
+        'if self.report_interval_s <= FREQUENT_REPORT_S:', 'if True:',
+        'placement', 'seldom',
     ),
     Mutant(
         'placing: parts of all halls', 'backends',
@@ -481,8 +481,8 @@
     ),
     Mutant(
         'placing: slow runners like others', 'backends',
-        'return [b for b in sound if b.slowdown < AVOID_SLOWDOWN] or sound',
-        'return sound',
+        '[b for b in healthy if b.slowdown < AVOID_SLOWDOWN] or healthy',
+        'healthy',
         'mapplans', 'slow runner',
     ),
     Mutant(
@@ -556,14 +556,12 @@
     Mutant(
         'forwarding: streams stay at a slow runner', 'forwarding',
         'if backend.slowdown < backends.MIGRATE_SLOWDOWN:', 'if True:',
-        'forwarding',
-        'becomes',
+        'forwarding', 'becomes',
     ),
     Mutant(
         'forwarding: streams leave at any pace', 'forwarding',
         'if backend.slowdown < backends.MIGRATE_SLOWDOWN:', 'if False:',
-        'forwarding',
-        'becomes',
+        'forwarding', 'becomes',
     ),
     Mutant(
         'forwarding: no wait for the first routes', 'forwarding',
@@ -643,7 +641,7 @@
     ),
     Mutant(
         'rests: second tries go to idle runners too', 'backends',
-        'fit = [b for b in fit if self._is_at_work(b)] or fit', 'pass',
+        'fit = [b for b in fit if self._is_working(b)] or fit', 'pass',
         'rests',
     ),
     Mutant(
@@ -1191,9 +1189,11 @@
     ),
     Mutant(
         'halls: the own part knows no ramp', 'backends',
-        'best = self._of_own_part(sound, occupancy, rng)',
-        '''best = self._of_own_part(
-            sound, lambda b: b.occupancy(self.report_interval_s, now_s), rng
+        'best = self._pick_preferred(candidates, occupancy, rng)',
+        '''best = self._pick_preferred(
+            candidates,
+            lambda b: b.occupancy(self.report_interval_s, now_s),
+            rng,
         )''',
         'halls', 'is a ramp',
     ),
@@ -1270,7 +1270,7 @@
     ),
     Mutant(
         'backends: cold runners like others', 'backends',
-        'more += COLD_COST', 'pass', 'warmup',
+        'added += COLD_COST', 'pass', 'warmup',
     ),
     Mutant(
         'lines: only in order of arrival', 'lines',
