--- a/features/placement.feature
+++ b/features/placement.feature
@@ -1,6 +1,6 @@
-Feature: Where routed requests go, by what each gateway knows
+Feature: How each gateway selects runners from what it knows
 
-  Scenario Outline: Gateways with the same reports do not crowd one runner
+  Scenario Outline: Gateways with the same reports do not all send to one runner
     Given <gateways> gateways and 16 runners of 6 slots
     And <free> of the runners have 2 requests and the others have 3
     When each gateway sends <rate> requests a second for 20 s, and each takes 1.5 s
@@ -12,34 +12,33 @@
       | 11       | 4    | 5    | 30   |
       | 37       | 4    | 2    | 45   |
 
-  Scenario: A gateway that is alone takes the least loaded runner
+  Scenario: A single gateway selects the least loaded runner
     Given 1 gateways and 16 runners of 6 slots
     And 1 of the runners have 2 requests and the others have 3
     When each gateway sends one request
     Then it went to the runner with 2 requests
 
-  Scenario Outline: With seldom reports each gateway fills its own part first
-    Pattern: many gateways, each with a few requests a second, and reports
-    that are older than the time in which runners fill. The figures are those
-    of a played day at this size: 60 in 100 slots taken on average.
+  Scenario Outline: With infrequent reports each gateway fills its preferred subset first
+    Many gateways send a few requests a second each, and reports are older
+    than the time in which runners fill.
     Given <gateways> gateways in <halls> halls and <runners> runners of <slots> slots
-    And reports come each <rest_s> s and are told each <told_s> s
+    And runners report each <interval_s> s and the leader forwards reports each <forward_s> s
     When all send <per_s> requests a second for 12 s, and each takes 1.3 s
     Then at most <most> in 100 requests wait for a slot
 
     Examples:
-      | gateways | halls | runners | slots | rest_s | told_s | per_s | most |
-      | 103      | 5     | 192     | 3     | 0.5    | 0.5    | 260   | 9    |
-      | 37       | 3     | 72      | 5     | 0.2    | 0.2    | 140   | 0.3  |
+      | gateways | halls | runners | slots | interval_s | forward_s | per_s | most |
+      | 103      | 5     | 192     | 3     | 0.5        | 0.5       | 260   | 9    |
+      | 37       | 3     | 72      | 5     | 0.2        | 0.2       | 140   | 0.3  |
 
-  Scenario: Where runners bear any number nothing is bounded
+  Scenario: Without a limit for cold runners the selection is not changed
     Given 39 gateways in 3 halls and 72 runners of 5 slots
-    And reports come each 0.2 s and are told each 0.2 s
-    And a cold runner of theirs bears 0 requests a second, which is any number
+    And runners report each 0.2 s and the leader forwards reports each 0.2 s
+    And the routes limit a cold runner to 0 requests a second, which means no limit
     When all send 140 requests a second for 4 s, and each takes 1.3 s
-    Then each request goes where it went before there was a bound
+    Then each request goes to the same runner as without limits
 
-  Scenario: Parts follow the gateways that there are, and cover all runners
+  Scenario: Preferred subsets follow the gateways and cover all runners
     Given 103 gateways in 5 halls and 192 runners of 3 slots
-    Then each runner is in the part of one gateway of its hall
-    And after 20 gateways have gone that holds again
+    Then each runner is in the preferred subset of one gateway of its hall
+    And the same holds after 20 gateways have left
--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -719,7 +719,7 @@
         return send(number, now_s)
 
     site.send = obey
-    site.play(per_s / len(site.known), back_s + 3, took_s)
+    site.simulate(per_s / len(site.known), back_s + 3, took_s)
     context.quarters = collections.Counter(
         int((at_s - back_s) // 0.25)
         for key, came_s in site.arrivals.items()
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -436,11 +436,12 @@
     Mutant(
         'placing: no part of its own', 'backends',
         'if self.report_interval_s <= FREQUENT_REPORT_S:', 'if True:',
-        'placement', 'seldom',
+        'placement', 'infrequent',
     ),
     Mutant(
         'placing: parts of all halls', 'backends',
-        'if backend.instance.hall == hall', 'if True', 'placement', 'Parts',
+        'if backend.instance.hall == hall', 'if True', 'placement',
+        'Preferred subsets',
     ),
     Mutant(
         'maps: a map is sent whole each time', 'groups',
