--- a/features/halls.feature
+++ b/features/halls.feature
@@ -1,15 +1,15 @@
 Feature: Halls are taken out of service and put back
 
   Operators wait a second for an answer and then send the same order again
-  through another box. What was acknowledged holds, whatever is lost, and a
-  copy that comes late undoes nothing.
+  through another box. An acknowledged order survives any fault, and a delayed
+  copy of an order does not undo a newer one.
 
   Scenario Outline: The <message> of an order that takes a hall out <fault>
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
     When "south" is taken out while the <message> <fault>, and put back <later> s later
     Then each order is acknowledged within <most> s, and the hall has changed twice
-    And no request comes to "south" from 5 s after the first until the second
-    And requests come to "south" again within 3 s of the second
+    And no request is sent to "south" from 5 s after the first order until the second
+    And requests are sent to "south" again within 3 s of the second order
 
     Examples:
       | message    | fault                              | later | most |
@@ -39,8 +39,8 @@
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
     When "south" is taken out, then <what>, and it is put back 12 s later
     Then each order is acknowledged within 5 s, and the hall has changed twice
-    And no request comes to "south" from 5 s after the first until the second
-    And requests come to "south" again within 3 s of the second
+    And no request is sent to "south" from 5 s after the first order until the second
+    And requests are sent to "south" again within 3 s of the second order
 
     Examples:
       | what                                    |
@@ -51,54 +51,54 @@
 
   Scenario: Orders on both sides of a cut
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
-    When "south" is ordered out where the leader is cut off, and out and back elsewhere
-    Then it is in service everywhere after the cut, and stays so
+    When "south" is taken out on the leader's side of a cut, and out and put back on the other
+    Then it is in service at all entries 10 s after the cut has healed
 
   Scenario: The hall that holds the leader is taken out
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
     When "north" is taken out, then nothing happens, and it is put back 12 s later
-    Then no request comes to "north" from 5 s after the first until the second
+    Then no request is sent to "north" from 5 s after the first order until the second
     And the same controller leads
 
   Scenario: Two halls are out
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
     When "north" and "south" are taken out
-    Then all requests come to "east" from 5 s on
+    Then from 5 s on all requests are sent to "east"
 
   Scenario: All halls are out
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
     When "north" and "south" and "east" are taken out
-    Then requests are refused within 0.01 s with code 1211 and a time to come back
+    Then requests are refused within 0.01 s with code 1211 and a Retry-After header
 
   Scenario: A request that waits for a runner obeys an order that comes meanwhile
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
-    When "south" alone opens its groups 0.3 s after it was taken out
+    When only "south" opens its groups, 0.3 s after it was taken out
     Then the request that waited is refused with code 1211
 
   Scenario: A process that starts sends nothing before it has a view
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
     When "south" is taken out and an entry starts cut off from the controllers
-    Then its requests are refused with code 1207 until it has a view, and none comes to "south"
+    Then its requests are refused with code 1207 until it has a view, and none is sent to "south"
 
-  Scenario Outline: A box stands still while an order <at>, until newer ones were given
+  Scenario Outline: A box is suspended while an order <at>, and newer orders are given
     Given an entry's orders for halls
-    When it stands still for 5 s while an order <at>
-    Then in the end its order was <end>
+    When the box is suspended for 5 s while an order <at>
+    Then in the end the order was <end>
 
     Examples:
       | at                            | end              |
       | waits for the hall's revision | not sent         |
       | is on its way to the leader   | refused with 503 |
 
-  Scenario: The caller has left before the order is read
+  Scenario: The caller disconnects before the order is read
     Given an entry's orders for halls
-    When it reads an order whose caller has left
+    When it reads an order whose caller has disconnected
     Then nothing is sent to the leader
 
-  Scenario: An order meets another that came between, and is decided anew
+  Scenario: An order that conflicts with a newer one is retried
     Given an entry's orders for halls
-    When another order comes between its two calls
-    Then it is held on the newer revision
+    When another order is applied between its two calls
+    Then it is applied on the newer revision
 
   Scenario Outline: The name of a hall is <name>
     Given an entry's orders for halls
@@ -113,15 +113,15 @@
       | %2e/x   | none         | 400    | 1100 |
       | -s      | none         | 400    | 1100 |
 
-  Scenario: Settings that are read again name a new hall
+  Scenario: Reloaded settings name a new hall
     Given an entry's orders for halls
-    When the settings name south, and after they are read again west too
-    Then an order for west is taken
+    When the settings name south, and after a reload west too
+    Then an order for west is accepted
 
   Scenario Outline: Operators run mountridge halls <command>
     Given an entry's orders for halls
     When an operator runs mountridge halls <command>
-    Then it ends with <code> and tells <text>
+    Then the command exits with <code> and prints <text>
 
     Examples:
       | command       | code | text                                   |
@@ -130,11 +130,11 @@
       | restore south | 0    | hall south, state in service, revision 7 |
       | drain west/   | 1    | error 1100                             |
 
-  Scenario Outline: The return of a hall is a ramp, with <per_s> requests a second
+  Scenario Outline: A hall that was put back is ramped up, with <per_s> requests a second
     Given 39 gateways in 3 halls and 72 runners of 5 slots
     And runners report each 0.2 s and the leader forwards reports each 0.0975 s
-    When hall "h0" is out until 8 s, with <per_s> requests a second that take 0.75 s
-    Then its runners get at most <first> requests in the first 0.25 s, and <most> in each
+    When hall "h0" is out of service until 8 s, with <per_s> requests a second that take 0.75 s
+    Then its runners get at most <first> requests in the first 0.25 s, and <most> in each 0.25 s
 
     Examples:
       | per_s | first | most |
@@ -142,13 +142,13 @@
       | 216   | 6     | 30   |
       | 288   | 20    | 36   |
 
-  Scenario: The state of halls in a snapshot, and a snapshot from before there were any
+  Scenario: The state of halls in a snapshot, and a snapshot without halls
     Given a replicated state
-    When a hall is taken out, put back, and its runners are held
-    Then its runners are cold until they say otherwise, also after a snapshot
-    And a snapshot from before there were halls is read as none out
+    When runners are registered, and one hall is taken out and put back
+    Then its runners are cold until they report otherwise, also after a snapshot
+    And a snapshot without halls is restored with none out of service
 
-  Scenario: A controller that was deposed tells nothing of halls
+  Scenario: A deposed controller returns no halls
     Given a replicated state
-    When one that no quorum confirms as the leader is asked for its halls
-    Then it tells none
+    When a replica that no quorum confirms as the leader is asked for its halls
+    Then it returns no halls
--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on halls out of service: orders under faults, and who obeys them."""
+"""Steps for halls out of service: orders under faults, and their effect."""
 
 import collections
 import contextlib
@@ -23,7 +23,7 @@
 from mountridge.state import commands, statemachine
 
 HALLS = ('north', 'south', 'east')
-#: What operators wait for an answer, before they send an order again.
+#: How long operators wait for an answer before they repeat an order.
 WAIT_S = 1.0
 REQUEST_S = 0.25
 KEY = (b'Host', b'a.example')
@@ -41,7 +41,7 @@
 
 
 class Pool:
-    """Stands in for the connections of an entry; runners answer at once."""
+    """Fake connection pool of an entry; runners answer after 10 ms."""
 
     def __init__(self, play, name):
         self.play, self.name = play, name
@@ -59,15 +59,15 @@
         pass
 
 
-class Play:
-    """A system with callers and an operator, on virtual time."""
+class Simulation:
+    """A simulated system with callers and an operator, on virtual time."""
 
     def __init__(self, world):
         self.world = world
-        self.sent = []  # (when, by which entry, to which hall)
-        self.answers = []  # (when, entry, status, code, how long it took)
-        self.orders = []  # (when begun, when acknowledged)
-        self.deaf = {}  # entry -> until when it is out of touch
+        self.sent = []  # (time, entry, hall of the runner)
+        self.answers = []  # (time, entry, responder, code, duration)
+        self.orders = []  # (start, acknowledgement)
+        self.stale_until_s = {}  # entry -> when its view is current again
 
     def start(self, name):
         self.world.start(name)
@@ -111,35 +111,35 @@
         request = httpserver.Request(b'GET', b'/1', [KEY], b'')
         await self.world.parts[name].forwarder.handle(request, responder)
         now_s = trio.current_time()
-        told = {} if responder.status == 200 else json.loads(responder.body)
-        code = told['error']['code'] if told else 0
+        body = {} if responder.status == 200 else json.loads(responder.body)
+        code = body['error']['code'] if body else 0
         self.answers.append((now_s, name, responder, code, now_s - begun_s))
         return responder, code
 
     async def order(self, hall, is_out, first=0):
-        """Send an order again and again until it is acknowledged."""
+        """Repeat an order, at one entry after another, until acknowledged."""
         begun_s = trio.current_time()
         with trio.fail_after(20):
             for number in range(first, first + 1000):
                 name = self.world.entries[number % len(self.world.entries)]
-                if await self.try_order(name, hall, is_out):
+                if await self.attempt_order(name, hall, is_out):
                     break
         self.orders.append((begun_s, trio.current_time()))
 
-    async def try_order(self, name, hall, is_out, wait_s=WAIT_S):
+    async def attempt_order(self, name, hall, is_out, wait_s=WAIT_S):
         await trio.sleep(0.02)
         if self.world.processes.get(name) is None:
             return False
         done = trio.Event()
-        taken = False
+        is_done = False
 
         async def run():
-            nonlocal taken
-            # As the HTTP server does when a caller closes its connection.
+            nonlocal is_done
+            # The HTTP server cancels a request when its caller disconnects.
             with trio.move_on_after(wait_s):
                 try:
                     part = self.world.parts[name]
-                    taken = (await part.set_hall(hall, is_out)) is not None
+                    is_done = (await part.set_hall(hall, is_out)) is not None
                 except errors.MountridgeError as problem:
                     assert problem.status == 503, problem
             done.set()
@@ -147,10 +147,10 @@
         self.world.processes[name].start_task(run)
         with trio.move_on_after(wait_s):
             await done.wait()
-        return taken
+        return is_done
 
     def changes(self, hall):
-        """Return the orders in the log that changed the hall."""
+        """Return the final state of a hall and the revisions it had."""
         machine = statemachine.StateMachine()
         revisions = set()
         for number, payload in enumerate(self.world.log):
@@ -163,7 +163,7 @@
 
 def _play(context, script):
     async def run(world):
-        context.play = Play(world)
+        context.play = Simulation(world)
         await context.play.begin()
         await script(context.play)
         return context.play
@@ -175,7 +175,7 @@
 
 
 @given('3 entries, 3 controllers, and 2 runners in each of 3 halls')
-def three_halls(context):
+def three_entries(context):
     pass
 
 
@@ -183,7 +183,7 @@
     '"{hall}" is taken out while the {message} {fault},'
     ' and put back {later:d} s later'
 )
-def out_under_fault(context, hall, message, fault, later):
+def take_out_under_fault(context, hall, message, fault, later):
     async def script(play):
         action = system_world.ACTIONS[fault]
         rule = system_world.Rule(message, _restarting(play, action))
@@ -198,14 +198,14 @@
 
 
 def _restarting(play, action):
-    """Let processes that an action restarts get their stand-ins again."""
+    """Replace the pools of entries that an action restarts by fakes."""
 
     def act(world, app, to):
         made = action(world, app, to)
-        world.nursery.start_soon(mend)
+        world.nursery.start_soon(replace_pools)
         return made
 
-    async def mend():
+    async def replace_pools():
         for _ in range(300):
             await trio.sleep(0.01)
             for name in play.world.entries:
@@ -236,11 +236,11 @@
     await play.world.restart(play.world.leader, 2)
 
 
-async def _deafen(play):
+async def _cut_off_entry(play):
     play.world.cut_off('e2')
     await trio.sleep(3.5)
     play.world.heal('e2')
-    play.deaf['e2'] = trio.current_time() + 2
+    play.stale_until_s['e2'] = trio.current_time() + 2
 
 
 async def _lose_hall(play):
@@ -252,13 +252,13 @@
     'nothing happens': _nothing,
     'all processes lose power': _lose_power,
     'the leader loses its disk': _lose_disk,
-    'an entry is deaf for a lease': _deafen,
+    'an entry is deaf for a lease': _cut_off_entry,
     'its entry and its controllers are lost': _lose_hall,
 }
 
 
 @when('"{hall}" is taken out, then {what}, and it is put back 12 s later')
-def out_then(context, hall, what):
+def take_out_then(context, hall, what):
     async def script(play):
         context.led = play.world.leader
         await play.order(hall, True)
@@ -283,24 +283,28 @@
 
 
 @then(
-    'no request comes to "{hall}" from {after_s:d} s after the first until'
-    ' the second'
+    'no request is sent to "{hall}" from {after_s:d} s after the first order'
+    ' until the second'
 )
 def check_none_sent(context, hall, after_s):
     play = context.play
     from_s, until_s = play.orders[0][1] + after_s, play.orders[1][0]
-    late = [
+    unwanted = [
         (at_s, name)
         for at_s, name, to in play.sent
-        if to == hall and max(from_s, play.deaf.get(name, 0)) < at_s < until_s
+        if to == hall
+        and max(from_s, play.stale_until_s.get(name, 0)) < at_s < until_s
     ]
-    assert not late, late[:5]
+    assert not unwanted, unwanted[:5]
     before = [to for at_s, _, to in play.sent if at_s < play.orders[0][0]]
     assert hall in before, before
 
 
-@then('requests come to "{hall}" again within {limit_s:d} s of the second')
-def check_back(context, hall, limit_s):
+@then(
+    'requests are sent to "{hall}" again within {limit_s:d} s of the second'
+    ' order'
+)
+def check_requests_resumed(context, hall, limit_s):
     acked_s = context.play.orders[1][1]
     after = [at for at, _, to in context.play.sent if to == hall]
     after = [at_s for at_s in after if at_s >= acked_s]
@@ -313,10 +317,10 @@
 
 
 @when(
-    '"{hall}" is ordered out where the leader is cut off,'
-    ' and out and back elsewhere'
+    '"{hall}" is taken out on the leader\'s side of a cut,'
+    ' and out and put back on the other'
 )
-def both_sides(context, hall):
+def order_on_both_sides(context, hall):
     async def script(play):
         world = play.world
         world.cut_off(world.leader)
@@ -324,8 +328,11 @@
             world.cut |= {('e1', name), (name, 'e1')}
 
         async def cut_off_order():
-            # Its caller is cut off too: nothing tells that it has left.
-            context.was_taken = await play.try_order('e1', hall, True, 60)
+            # Its caller is cut off too, so the entry can't notice that it
+            # has disconnected.
+            context.was_acknowledged = await play.attempt_order(
+                'e1', hall, True, 60
+            )
 
         world.nursery.start_soon(cut_off_order)
         await play.order(hall, True, first=1)
@@ -336,16 +343,16 @@
     _play(context, script)
 
 
-@then('it is in service everywhere after the cut, and stays so')
+@then('it is in service at all entries 10 s after the cut has healed')
 def check_in_service(context):
-    assert not context.was_taken
+    assert not context.was_acknowledged
     check_orders(context, 5)
     for name in context.play.world.entries:
         assert not context.play.world.parts[name].backends.halls_out
 
 
 @when('{names} are taken out')
-def several_out(context, names):
+def take_out_several(context, names):
     async def script(play):
         for name in names.split(' and '):
             await play.order(name.strip('"'), True)
@@ -354,7 +361,7 @@
     _play(context, script)
 
 
-@then('all requests come to "{hall}" from {after_s:d} s on')
+@then('from {after_s:d} s on all requests are sent to "{hall}"')
 def check_all_to(context, hall, after_s):
     from_s = context.play.orders[-1][1] + after_s
     to = {to for at_s, _, to in context.play.sent if at_s > from_s}
@@ -363,7 +370,7 @@
 
 @then(
     'requests are refused within {limit_s:g} s with code {code:d}'
-    ' and a time to come back'
+    ' and a Retry-After header'
 )
 def check_all_refused(context, limit_s, code):
     from_s = context.play.orders[-1][1] + 5
@@ -375,8 +382,8 @@
         assert b'Retry-After' in dict(responder.headers)
 
 
-@when('"{hall}" alone opens its groups {after_s:g} s after it was taken out')
-def opens_alone(context, hall, after_s):
+@when('only "{hall}" opens its groups, {after_s:g} s after it was taken out')
+def open_groups(context, hall, after_s):
     async def script(play):
         for name in HALLS:
             if name != hall:
@@ -427,7 +434,7 @@
 
 @then(
     'its requests are refused with code {code:d} until it has a view,'
-    ' and none comes to "{hall}"'
+    ' and none is sent to "{hall}"'
 )
 def check_started(context, code, hall):
     span = (context.from_s, context.until_s)
@@ -445,11 +452,11 @@
     assert sent and hall not in sent, sent
 
 
-# One entry's part, without a leader.
+# The orders of one entry, with a fake leader.
 
 
 class Leader:
-    """Answers calls as the replicated state does, and lets time go by."""
+    """Answers calls as the replicated state does, on a simulated clock."""
 
     def __init__(self):
         self.now_s = 0.0
@@ -458,7 +465,7 @@
         self.on_call = lambda message: None
 
     async def call(self, message, timeout_s):
-        # A round trip: all that is due here at this moment goes first.
+        # A round trip: tasks that can run now run before the answer.
         await trio.testing.wait_all_tasks_blocked()
         self.sent.append(message)
         read = self.state
@@ -497,28 +504,28 @@
     trio.run(main)
 
 
-def _others(leader):
-    """Take the hall out and put it back: newer orders than one under way."""
+def _apply_newer_orders(leader):
+    """Take the hall out and put it back, while an order is in flight."""
     leader.state = halls.HallState(
         'south', False, leader.state.revision + 2, 0.0
     )
 
 
-@when('it stands still for {still_s:d} s while an order {at}')
-def stand_still(context, still_s, at):
+@when('the box is suspended for {suspended_s:d} s while an order {at}')
+def suspend_box(context, suspended_s, at):
     leader = context.leader
     kind = messages.ReadHalls if 'waits' in at else messages.SetHall
 
-    def still(message):
+    def suspend(message):
         if isinstance(message, kind):
-            leader.now_s += still_s
-            _others(leader)
+            leader.now_s += suspended_s
+            _apply_newer_orders(leader)
 
-    leader.on_call = still
+    leader.on_call = suspend
     _set(context)
 
 
-@then('in the end its order was {end}')
+@then('in the end the order was {end}')
 def check_end(context, end):
     sent = [type(message) for message in context.leader.sent]
     assert (messages.SetHall in sent) == (end != 'not sent'), sent
@@ -526,18 +533,18 @@
     assert not context.leader.state.is_out
 
 
-@when('another order comes between its two calls')
-def between(context):
+@when('another order is applied between its two calls')
+def conflict(context):
     def once(message):
         if isinstance(message, messages.SetHall):
             context.leader.on_call = lambda message: None
-            _others(context.leader)
+            _apply_newer_orders(context.leader)
 
     context.leader.on_call = once
     _set(context)
 
 
-@then('it is held on the newer revision')
+@then('it is applied on the newer revision')
 def check_newer(context):
     assert context.problem is None
     assert context.state.is_out and context.state.revision == 10
@@ -558,8 +565,8 @@
     assert bool(context.leader.sent) == (code == 0)
 
 
-@when('the settings name {known}, and after they are read again {more} too')
-def reread(context, known, more):
+@when('the settings name {known}, and after a reload {more} too')
+def reload_settings(context, known, more):
     context.orders.follow_settings({'halls': [known]})
     _set(context, more)
     assert context.problem.code == errors.UnknownHall.code
@@ -567,14 +574,14 @@
     context.name = more
 
 
-@then('an order for {name} is taken')
-def check_taken(context, name):
+@then('an order for {name} is accepted')
+def check_accepted(context, name):
     _set(context, name)
     assert context.problem is None, context.problem
 
 
-@when('it reads an order whose caller has left')
-def caller_left(context):
+@when('it reads an order whose caller has disconnected')
+def read_without_caller(context):
     async def main():
         near, far = trio.testing.memory_stream_pair()
         await near.send_all(
@@ -582,7 +589,7 @@
             b'Content-Length: 0\r\n\r\n'
         )
         await near.aclose()
-        # As a box that stood still: both are there when it reads.
+        # The order and the end of the stream are both there when it reads.
         await _control(context).serve_connection(far)
 
     trio.run(main)
@@ -595,7 +602,7 @@
 
 
 def _control(context):
-    """Return a server that answers control calls by the entry's part."""
+    """Return an HTTP server for the control API with the orders' methods."""
     entry = types.SimpleNamespace(
         set_hall=context.orders.set, read_halls=context.orders.read
     )
@@ -620,7 +627,7 @@
     trio.run(main)
 
 
-@then('it ends with {code:d} and tells {text}')
+@then('the command exits with {code:d} and prints {text}')
 def check_command(context, code, text):
     shown = context.shown
     assert shown.exit_code == code, shown.output
@@ -630,8 +637,8 @@
 # The replicated state.
 
 
-@when('a hall is taken out, put back, and its runners are held')
-def hold_runners(context):
+@when('runners are registered, and one hall is taken out and put back')
+def restore_hall(context):
     machine = context.machine
     context.old = machine.snapshot()
     for number, hall in enumerate(HALLS):
@@ -641,15 +648,17 @@
         machine.apply(number + 1, commands.SetInstance(runner, 1.0))
     machine.apply(4, commands.SetHall('south', True, 0, 2.0))
     back = machine.apply(5, commands.SetHall('south', False, 4, 3.0))
-    # A copy of the same order, and one of an older.
+    # A copy of the same order, and a copy of an older one.
     copy = commands.SetHall('south', False, 4, 9.0)
     assert machine.apply(6, copy) == back
     with contextlib.suppress(errors.HallChanged):
         machine.apply(7, commands.SetHall('south', True, 0, 9.0))
-        raise AssertionError('an order on an older revision was taken')
+        raise AssertionError('an order on an older revision was accepted')
 
 
-@then('its runners are cold until they say otherwise, also after a snapshot')
+@then(
+    'its runners are cold until they report otherwise, also after a snapshot'
+)
 def check_cold(context):
     restored = statemachine.StateMachine()
     restored.restore(context.machine.snapshot())
@@ -664,7 +673,7 @@
     assert not restored.instances['i-1'].is_cold
 
 
-@then('a snapshot from before there were halls is read as none out')
+@then('a snapshot without halls is restored with none out of service')
 def check_old(context):
     restored = statemachine.StateMachine()
     restored.restore(context.old)
@@ -672,7 +681,7 @@
 
 
 class _NoQuorum:
-    """A replica that thinks it leads, and is told by no quorum."""
+    """A replica that takes itself for the leader without a quorum."""
 
     def check_leader(self):
         pass
@@ -681,7 +690,7 @@
         raise errors.NotLeader()
 
 
-@when('one that no quorum confirms as the leader is asked for its halls')
+@when('a replica that no quorum confirms as the leader is asked for its halls')
 def ask_deposed(context):
     async def main():
         office = halloffice.HallOffice(
@@ -694,34 +703,34 @@
     trio.run(main)
 
 
-@then('it tells none')
-def check_none_told(context):
+@then('it returns no halls')
+def check_no_reply(context):
     assert context.reply is None, context.reply
 
 
-# The return of a hall.
+# The slow start of a hall that was put back.
 
 
 @when(
-    'hall "{hall}" is out until {back_s:g} s, with {per_s:d} requests a second'
-    ' that take {took_s:g} s'
+    'hall "{hall}" is out of service until {restored_s:g} s,'
+    ' with {per_s:d} requests a second that take {took_s:g} s'
 )
-def play_return(context, hall, back_s, per_s, took_s):
+def simulate_slow_start(context, hall, restored_s, per_s, took_s):
     site = context.site
     for known in site.known:
         known.update_halls({hall}, 0.0)
     send = site.send
 
-    def obey(number, now_s):
-        if now_s >= back_s:
+    def send_by_state(number, now_s):
+        if now_s >= restored_s:
             for known in site.known:
                 known.update_halls(set(), now_s)
         return send(number, now_s)
 
-    site.send = obey
-    site.simulate(per_s / len(site.known), back_s + 3, took_s)
+    site.send = send_by_state
+    site.simulate(per_s / len(site.known), restored_s + 3, took_s)
     context.quarters = collections.Counter(
-        int((at_s - back_s) // 0.25)
+        int((at_s - restored_s) // 0.25)
         for key, came_s in site.arrivals.items()
         for at_s in came_s
         if site.known[0].by_id[key].instance.hall == hall
@@ -730,7 +739,7 @@
 
 @then(
     'its runners get at most {first:d} requests in the first 0.25 s,'
-    ' and {most:d} in each'
+    ' and {most:d} in each 0.25 s'
 )
 def check_ramp(context, first, most):
     counts = context.quarters
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1143,22 +1143,22 @@
                 raise errors.NoController''',
         '''            if False:
                 raise errors.NoController''',
-        'halls', 'stands still',
+        'halls', 'is suspended',
     ),
     Mutant(
         'halls: an order that met another is given up', 'hallorders',
         '                continue\n', '                raise\n',
-        'halls', 'decided anew',
+        'halls', 'conflicts with a newer',
     ),
     Mutant(
         'halls: the caller is not watched', 'httpserver',
         'if not data:\n            scope.cancel()',
-        'if not data:\n            pass', 'halls', 'caller has left',
+        'if not data:\n            pass', 'halls', 'caller disconnects',
     ),
     Mutant(
         'halls: settings that are read again change none', 'hallorders',
         "        self._halls = settings['halls']", '        pass',
-        'halls', 'read again',
+        'halls', 'Reloaded settings',
     ),
     Mutant(
         'halls: any name is taken', 'hallorders',
@@ -1186,7 +1186,7 @@
     Mutant(
         'halls: a return is a wave', 'slowstart',
         'return max(0.0, 1.0 - restored_for_s / RAMP_S)', 'return 0.0',
-        'halls', 'is a ramp',
+        'halls', 'is ramped up',
     ),
     Mutant(
         'halls: the own part knows no ramp', 'backends',
@@ -1196,7 +1196,7 @@
             lambda b: b.occupancy(self.report_interval_s, now_s),
             rng,
         )''',
-        'halls', 'is a ramp',
+        'halls', 'is ramped up',
     ),
     Mutant(
         'forwarding: what is under way is called not run', 'forwarding',
