--- a/bench/placing.py
+++ b/bench/placing.py
@@ -222,15 +222,15 @@
 def _entry(gateways: int, runners: int, cold_per_s: float):
     """Return what one of the gateways knows of runners in 3 halls."""
     known = backends.Backends('g-0')
-    known.rest_s = 0.2
+    known.report_interval_s = 0.2
     halls = {f'g-{n}': f'h{n % 3}' for n in range(gateways)}
-    known.follow(
+    known.update_runners(
         instances.Instance(
             f'i-{n}', 's', f'10.0.0.{n}:1', f'h{n % 3}', 'v', 5, 'ready'
         )
         for n in range(runners)
     )
-    known.follow_gateways(halls)
+    known.update_gateways(halls)
     known.warmup.update_gateways(halls, 0.0)
     known.warmup.update_services({'s': cold_per_s})
     return known
@@ -245,8 +245,8 @@
         begun_s = time.perf_counter()
         for _ in range(PLACED):
             picked = known.pick('s', 'h0', set(), gateways, rng, now_s)
-            known.began(picked.backend, now_s).mark_sent(now_s)
-            picked.backend.ended()
+            known.request_started(picked.backend, now_s).mark_sent(now_s)
+            picked.backend.request_ended()
             now_s += 0.1
         found.append((time.perf_counter() - begun_s) / PLACED * 1e6)
     return min(found)
--- a/features/steps/closedgroups_steps.py
+++ b/features/steps/closedgroups_steps.py
@@ -42,14 +42,14 @@
     context.ranks = ranks
     context.known = backends.Backends('g-0')
     count = groups * ranks
-    context.known.follow([_rank(number) for number in range(count)])
+    context.known.update_runners([_rank(number) for number in range(count)])
     _report_all(context, True)
 
 
 def _report_all(context, is_open):
     for number in range(len(context.known.by_id)):
         load = _load(number, 1 + number // context.ranks, is_open)
-        context.known.report(load, context.now_s)
+        context.known.record_report(load, context.now_s)
 
 
 def _pick(context, attempted=frozenset(), seed=1):
@@ -63,9 +63,9 @@
 def refuse(context, group, running):
     backend = context.known.by_id[f'i-{(group - 1) * context.ranks}']
     context.now_s += 0.01
-    backend.heard(running, 0, context.now_s)
+    backend.record_load(running, 0, context.now_s)
     context.changed = context.known.changed
-    context.known.refused(backend, context.now_s)
+    context.known.record_refusal(backend, context.now_s)
 
 
 @when('{after_s:g} s pass at the gateway')
@@ -82,13 +82,13 @@
 @when('a report of an open rank arrives 0.1 s later')
 def report_open(context):
     context.now_s += 0.1
-    context.known.report(_load(1, 1, True), context.now_s)
+    context.known.record_report(_load(1, 1, True), context.now_s)
 
 
 @when('a rank accepts a request 0.1 s later')
 def accept(context):
     context.now_s += 0.1
-    context.known.accepted(context.known.by_id['i-1'], context.now_s)
+    context.known.record_acceptance(context.known.by_id['i-1'], context.now_s)
 
 
 @then('requests go to group {group:d} only')
@@ -128,24 +128,24 @@
 def new_gateway(context, count):
     context.now_s = 100.0
     context.known = backends.Backends('g-0')
-    context.known.follow([_rank(number) for number in range(count)])
-    assert not context.known.is_proving('s')
+    context.known.update_runners([_rank(number) for number in range(count)])
+    assert not context.known.is_probing('s')
 
 
 @when('a request is in progress on one of them')
 def begin_request(context):
-    _pick(context).backend.began(context.now_s)
+    _pick(context).backend.request_started(context.now_s)
 
 
 @then('other requests have to wait for its outcome')
 def check_others_wait(context):
-    assert context.known.is_proving('s')
+    assert context.known.is_probing('s')
 
 
 @then('they need not wait once a report has arrived')
 def check_report_ends_wait(context):
-    context.known.report(_load(3, 1, True), context.now_s)
-    assert not context.known.is_proving('s')
+    context.known.record_report(_load(3, 1, True), context.now_s)
+    assert not context.known.is_probing('s')
 
 
 class _Start:
@@ -175,7 +175,7 @@
     def update_views(self, first):
         """Send all gateways a view of ranks numbered from ``first``."""
         for known in self.known:
-            known.follow([_rank(first + n) for n in range(self.ranks)])
+            known.update_runners([_rank(first + n) for n in range(self.ranks)])
 
     async def run(self, opens_s):
         first = FIRST_NEW_RANK if self.is_outdated else 0
@@ -191,7 +191,7 @@
             for known in self.known:
                 for number in range(self.ranks):
                     load = _load(first + number, 1, True)
-                    known.report(load, trio.current_time())
+                    known.record_report(load, trio.current_time())
 
     async def send_requests(self, gateway, nursery):
         """Send the initial requests, then more at random intervals."""
@@ -220,19 +220,19 @@
         backend = picked.backend
         number = int(backend.instance.instance_id[2:])
         exchange.tried.add(backend.instance.instance_id)
-        backend.began(trio.current_time())
+        backend.request_started(trio.current_time())
         is_open = trio.current_time() >= self.opens_s
         is_replaced = self.is_outdated and number < FIRST_NEW_RANK
         if is_replaced or not is_open:
             await trio.sleep(REFUSAL_S)
             backend.replaced = is_replaced
-            backend.heard(0, 0, trio.current_time())
-            known.refused(backend, trio.current_time())
-            backend.ended()
+            backend.record_load(0, 0, trio.current_time())
+            known.record_refusal(backend, trio.current_time())
+            backend.request_ended()
             return False
         await trio.sleep(FIRST_EVENT_S)
-        known.accepted(backend, trio.current_time())
-        backend.ended()
+        known.record_acceptance(backend, trio.current_time())
+        backend.request_ended()
         return True
 
 
--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -201,11 +201,11 @@
                     instances.READY,
                 )  # fmt: skip
             )
-        self.known.follow(registered)
+        self.known.update_runners(registered)
         # So that the first one is taken first, and the last one last.
         for number in range(1, len(registered)):
             known = self.known.by_id[f'i-{number}']
-            known.heard(2 + number, 0, trio.current_time())
+            known.record_load(2 + number, 0, trio.current_time())
         self.registered = registered
         (front,) = await trio.open_tcp_listeners(0, host=HOST)
         self.port = front.socket.getsockname()[1]
@@ -291,7 +291,7 @@
 def _report(world, is_open, now_s):
     for instance_id in world.known.by_id:
         load = messages.RunnerLoad(instance_id, 0, 0, 100, 1, is_open)
-        world.known.report(load, now_s)
+        world.known.record_report(load, now_s)
 
 
 @when('a streaming request is sent and a report says that it has opened')
@@ -345,11 +345,11 @@
 @when('a {kind} request is sent {early_s:g} s before they register')
 def send_early(context, kind, early_s):
     async def script(world):
-        world.known.follow([])
+        world.known.update_runners([])
 
         async def register():
             await trio.sleep(early_s)
-            world.known.follow(world.registered)
+            world.known.update_runners(world.registered)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(register)
@@ -396,7 +396,7 @@
 def send_to_slow(context, pace):
     async def script(world):
         def slow():
-            world.known.by_id['i-0'].pace = pace
+            world.known.by_id['i-0'].slowdown = pace
 
         world.runners[0].on_request = slow
         await _ask(context, world, 'streaming')
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -215,19 +215,19 @@
     known = context.known = backends.Backends('g')
     first = _instance('a', 'X', 990)._replace(lives=1)
     context.others = [_instance('b', 'Y', 990)._replace(lives=1)]
-    known.follow([first, *context.others])
+    known.update_runners([first, *context.others])
     former = context.former = known.by_id['a']
-    former.began(1.0)
+    former.request_started(1.0)
     if spoiled == 'left out':
-        former.failed(1.0)
-        former.failed(1.0)
+        former.record_failure(1.0)
+        former.record_failure(1.0)
     former.replaced = spoiled == 'replaced'
     if spoiled == 'refusing':
-        known.refused(former, 1.0)
+        known.record_refusal(former, 1.0)
     if spoiled == 'slow':
-        known.report(messages.RunnerLoad('a', 0, 0, 900, 0, True), 1.0)
+        known.record_report(messages.RunnerLoad('a', 0, 0, 900, 0, True), 1.0)
     if spoiled == 'full':
-        known.report(messages.RunnerLoad('a', 4, 9, 100, 0, True), 1.0)
+        known.record_report(messages.RunnerLoad('a', 4, 9, 100, 0, True), 1.0)
     context.spoiled = spoiled
 
 
@@ -243,7 +243,7 @@
 
 
 def _follow(context, registered):
-    context.forgotten = context.known.follow(registered)
+    context.forgotten = context.known.update_runners(registered)
 
 
 def _check_taken(context):
@@ -251,7 +251,7 @@
     assert picked and picked.backend.instance == context.restarted, picked
     assert picked.backend is not context.former
     assert (picked.backend.own, picked.load) == (0, 0), picked.load
-    assert picked.backend.pace == 1.0
+    assert picked.backend.slowdown == 1.0
 
 
 @then('it is taken like any other, and its address is to be forgotten')
@@ -267,10 +267,10 @@
 
 @when('an answer of the former life comes late')
 def late_answer(context):
-    context.former.ended()
-    context.former.failed(1.0)
+    context.former.request_ended()
+    context.former.record_failure(1.0)
     context.former.replaced = True
-    context.known.refused(context.former, 1.0)
+    context.known.record_refusal(context.former, 1.0)
 
 
 @then('it is taken like any other')
@@ -797,7 +797,7 @@
     assert reply.status == 200, reply.body
     view = context.world.machine.view
     packed = view.under(views.INSTANCE_PREFIX).values()
-    context.forgotten = context.known.follow(
+    context.forgotten = context.known.update_runners(
         [views.unpack_instance(value) for value in packed]
     )
 
@@ -806,8 +806,8 @@
 def fails_and_restarts(context):
     _beat(context)
     former = context.known.by_id['p-0']
-    former.failed(1.0)
-    former.failed(1.0)
+    former.record_failure(1.0)
+    former.record_failure(1.0)
     former.replaced = True
     _beat(context)
     assert context.known.by_id['p-0'] is former
--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -287,15 +287,15 @@
 )
 def backed_off(context):
     context.known = backends.Backends()
-    context.known.follow([rests.Runner(n).instance for n in range(4)])
+    context.known.update_runners([rests.Runner(n).instance for n in range(4)])
     context.known.backoffs.back_off(rests.Runner(0).instance, 1.0, 100.0)
-    context.known.by_id['i-1'].heard(2, 0, 111.0)
+    context.known.by_id['i-1'].record_load(2, 0, 111.0)
 
 
 @when('a fourth runner has refused a request, {ago_s:d} s after that')
 def refused_by_fourth(context, ago_s):
     now_s = 101.0 + ago_s
-    context.known.by_id['i-1'].heard(2, 0, now_s)
+    context.known.by_id['i-1'].record_load(2, 0, now_s)
     tried, rng = {'i-0', 'i-3'}, random.Random(1)
     context.picked = context.known.pick('s', 'north', tried, 1, rng, now_s)
 
--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -94,8 +94,8 @@
         await trio.sleep(self.rng.uniform(*VIEW_S))
         limiter.update_services({'s': per_s})
         limiter.update_gateways(self.names, self.now_s())
-        known.follow_gateways(self.names)
-        known.follow(self.listed())
+        known.update_gateways(self.names)
+        known.update_runners(self.listed())
         service = types.SimpleNamespace(engine=routes.Engine(SLOTS, 1, 8))
         index = types.SimpleNamespace(services={'s': service})
         app = types.SimpleNamespace(
@@ -113,7 +113,7 @@
         await trio.sleep(self.rng.uniform(*REGISTER_S))
         runner.is_registered = True
         for known in self.known.values():
-            known.follow(self.listed())
+            known.update_runners(self.listed())
 
     async def report(self):
         while True:
@@ -126,7 +126,7 @@
                         max(0, runner.in_flight - SLOTS), 100, runner.group,
                         is_open,
                     )  # fmt: skip
-                    known.report(load, self.now_s())
+                    known.record_report(load, self.now_s())
 
     async def run(self, per_s):
         self.begun_s = self.now_s()
@@ -171,12 +171,12 @@
             picked = await self.pickers[name].pick(exchange)
             backend = picked.backend
             exchange.tried.add(backend.instance.instance_id)
-            send = known.began(backend, self.now_s())
+            send = known.request_started(backend, self.now_s())
             try:
                 if await self.is_accepted(known, backend, send, number):
                     return
             finally:
-                backend.ended()
+                backend.request_ended()
         raise errors.RunnerRefused()
 
     async def is_accepted(self, known, backend, send, number):
@@ -195,15 +195,15 @@
             if is_replaced:
                 send.discard()
             else:
-                backend.heard(runner.in_flight, 0, self.now_s())
-            known.refused(backend, self.now_s())
+                backend.record_load(runner.in_flight, 0, self.now_s())
+            known.record_refusal(backend, self.now_s())
             return False
         runner.in_flight += 1
         while runner.in_flight > SLOTS and self.rng.random() < 0.5:
             await trio.sleep(FIRST_S)
         await trio.sleep(FIRST_S)
         self.served_s[number] = self.now_s() - self.begun_s
-        known.accepted(backend, self.now_s())
+        known.record_acceptance(backend, self.now_s())
         await trio.sleep(self.rng.expovariate(1 / RESPONSE_S))
         runner.in_flight -= 1
         return True
@@ -529,7 +529,7 @@
         self.limiter.update_services({'s': 14.0})
         self.limiter.update_gateways(_gateways(39, 3), 0.0)
         self.known = backends.Backends('g-0', self.limiter)
-        self.known.follow(runners)
+        self.known.update_runners(runners)
         service = types.SimpleNamespace(engine=None)
         index = types.SimpleNamespace(services={'s': service})
         app = types.SimpleNamespace(
@@ -557,7 +557,7 @@
         try:
             picked = await self.picker.pick(exchange)
             now_s = trio.current_time()
-            self.known.began(picked.backend, now_s).mark_sent(now_s)
+            self.known.request_started(picked.backend, now_s).mark_sent(now_s)
             outcome = picked.backend.instance.instance_id
         except errors.MountridgeError as problem:
             outcome = problem
@@ -671,7 +671,9 @@
         gateway = context.gateway = _SingleGateway(context.runners)
         for _ in range(2):
             picked = await gateway.picker.pick(gateway.exchange())
-            send = gateway.known.began(picked.backend, trio.current_time())
+            send = gateway.known.request_started(
+                picked.backend, trio.current_time()
+            )
             if what != 'is given up before it begins':
                 send.mark_sent(trio.current_time())
             send.discard()
@@ -733,7 +735,7 @@
                 load = messages.RunnerLoad(
                     runner.instance_id, 1, 0, 100, 1, True
                 )
-                gateway.known.report(load, trio.current_time())
+                gateway.known.record_report(load, trio.current_time())
             await gateway.ask(number)
             for backend in gateway.known.by_id.values():
                 backend.own = 0
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -185,7 +185,7 @@
                 await self.routes_known.wait()
         for each in self.filters:
             each(exchange, self.app.now_s())
-        self.budget.first(exchange.service, self.app.now_s())
+        self.budget.record_first(exchange.service, self.app.now_s())
         # trio's own clock has another origin than the application's.
         until_s = exchange.until_s + LATE_S
         with trio.move_on_after(until_s - self.app.now_s()) as scope:
@@ -242,7 +242,7 @@
         if problem.outcome != errors.NOT_RUN:
             exchange.may_have_run = True
         if not isinstance(problem, NOT_ITS_FAULT):
-            picked.backend.failed(now_s)
+            picked.backend.record_failure(now_s)
         logger.info(
             'try failed',
             request=exchange.call.request_id,
@@ -279,7 +279,9 @@
             return False
         if exchange.events_sent and not route.resumable:
             return False
-        return self.budget.take(exchange.service, self._gateways(), now_s)
+        return self.budget.try_acquire(
+            exchange.service, self._gateways(), now_s
+        )
 
     async def _try(self, exchange: Exchange, picked: backends.Picked) -> None:
         """Send the request to one runner and give its answer.
@@ -293,7 +295,7 @@
         exchange.events_at_try = exchange.events_sent
         exchange.is_under_way = True
         exchange.tried.add(backend.instance.instance_id)
-        send = self.known.began(backend, self.app.now_s())
+        send = self.known.request_started(backend, self.app.now_s())
         is_trial = self.known.backoffs.begin_request(backend.instance)
         try:
             async with self.pool.request(
@@ -313,7 +315,7 @@
                 send.discard()
             if is_trial:
                 self.known.backoffs.end_probe(backend.instance)
-            backend.ended()
+            backend.request_ended()
 
     def _leaves(
         self,
@@ -365,28 +367,28 @@
         head = reply.head
         now_s = self.app.now_s()
         if head.running is not None:
-            backend.heard(head.running, head.waiting, now_s)
+            backend.record_load(head.running, head.waiting, now_s)
         if head.status == MISDIRECTED:
             backend.replaced = True
             if self.picker.has_ranks(exchange.service):
-                self.known.refused(backend, now_s)
+                self.known.record_refusal(backend, now_s)
             raise errors.RunnerReplaced(f'it answered {head.status}')
         self._hear(exchange, backend.instance, head)
         if head.not_run:
             # One that asks for rest speaks for itself, not for its group.
             is_own_word = head.rest_s is not None
             if self.picker.has_ranks(exchange.service) and not is_own_word:
-                self.known.refused(backend, now_s)
+                self.known.record_refusal(backend, now_s)
             raise errors.RunnerRefused(f'the runner answered {head.status}')
         exchange.may_have_run = True
-        self.known.accepted(backend, now_s)
+        self.known.record_acceptance(backend, now_s)
         await routedanswers.give(
             exchange,
             reply,
             self.app.now_s,
             lambda: self._leave_slow(exchange, backend),
         )
-        backend.succeeded()
+        backend.record_success()
         self.crashes.ended_well(exchange)
 
     def _hear(
@@ -427,12 +429,14 @@
 
         :raises RunnerSlow: another runner may go on with it.
         """
-        if backend.pace < backends.LEAVE_PACE:
+        if backend.slowdown < backends.MIGRATE_SLOWDOWN:
             return
         others = self.known.of_service(exchange.service)
-        if all(other.pace >= backends.SLOW_PACE for other in others):
+        if all(other.slowdown >= backends.AVOID_SLOWDOWN for other in others):
             return
-        problem = errors.RunnerSlow(f'at {backend.pace:.1f} times its time')
+        problem = errors.RunnerSlow(
+            f'at {backend.slowdown:.1f} times its time'
+        )
         if self._may_go_on(exchange, problem):
             exchange.next_allowed = True
             raise problem
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -17,7 +17,7 @@
 
 from mountridge import application, errors, utils
 from mountridge.documents import routes
-from mountridge.routing import backends, closures, routedexchanges
+from mountridge.routing import backends, groupstates, routedexchanges
 from mountridge.routing import waitqueues, warmup
 
 __all__ = ['Picker']
@@ -144,7 +144,7 @@
         while True:
             now_s = self._app.now_s()
             ahead = queue.count_ahead(waiter) if waiter else 0
-            send_s = self.known.turn_s(
+            send_s = self.known.earliest_send_s(
                 exchange.service, exchange.tried, ahead, now_s
             )
             if send_s != warmup.NEVER and send_s > until_s:
@@ -184,10 +184,10 @@
             self._unowned_since_s.pop(service, None)
             return self._is_worth_waiting(exchange, until_s)
         since_s = self._unowned_since_s.setdefault(service, now_s)
-        return now_s - since_s < closures.HOPE_S
+        return now_s - since_s < groupstates.MAX_CLOSED_WAIT_S
 
     def _next_free_s(self, exchange: Exchange, now_s: float) -> float:
-        return self.known.free_s(
+        return self.known.next_free_s(
             exchange.service,
             exchange.tried,
             self._was_refused(exchange),
@@ -217,7 +217,7 @@
         Runners that back off are waited for where the first of them may get
         requests again by ``until_s``.
         """
-        if self.known.is_all_out(exchange.service):
+        if self.known.all_halls_out(exchange.service):
             return False
         if not self._runners(exchange) or self._is_probing(exchange):
             return True
@@ -225,7 +225,10 @@
         if end_s is not None and end_s <= until_s:
             return True
         closed_for_s = self._closed_for_s(exchange)
-        return closed_for_s is not None and closed_for_s < closures.HOPE_S
+        return (
+            closed_for_s is not None
+            and closed_for_s < groupstates.MAX_CLOSED_WAIT_S
+        )
 
     def _closed_for_s(self, exchange: Exchange) -> float | None:
         """Return for how long all groups are closed, None if one is open.
@@ -238,7 +241,7 @@
         return self.known.closed_for_s(exchange.service, now_s)
 
     def _no_runner_error(self, exchange: Exchange) -> errors.MountridgeError:
-        if self.known.is_all_out(exchange.service):
+        if self.known.all_halls_out(exchange.service):
             out = ', '.join(sorted(self.known.halls_out))
             return errors.HallsOut(f'halls out of service: {out}')
         closed_for_s = self._closed_for_s(exchange)
@@ -260,7 +263,7 @@
 
     def _backoff_end_s(self, exchange: Exchange) -> float | None:
         """Return when the first runner that backs off may get the request."""
-        return self.known.rest_over_s(
+        return self.known.backoff_over_s(
             exchange.service,
             exchange.tried,
             self._was_refused(exchange),
@@ -281,7 +284,7 @@
     def _is_probing(self, exchange: Exchange) -> bool:
         """Return whether another request is probing the ranks."""
         service = exchange.service
-        return self.has_ranks(service) and self.known.is_proving(service)
+        return self.has_ranks(service) and self.known.is_probing(service)
 
     def _choose(
         self, exchange: Exchange, now_s: float
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -430,16 +430,18 @@
     ),
     Mutant(
         'placing: others send nothing', 'backends',
-        'return own_per_s * unseen_s * max(0, gateways - 1)', 'return 0.0',
-        'placement',
+        'return own_per_s * unreported_s * max(0, gateways - 1)',
+        'return 0.0', 'placement',
     ),
     Mutant(
         'placing: no part of its own', 'backends',
-        'if self.rest_s <= SELDOM_S:', 'if True:', 'placement', 'seldom',
+        'if self.report_interval_s <= FREQUENT_REPORT_S:', 'if True:',
+        'placement', 'infrequent',
     ),
     Mutant(
         'placing: parts of all halls', 'backends',
-        'if backend.instance.hall == hall', 'if True', 'placement', 'Parts',
+        'if backend.instance.hall == hall', 'if True', 'placement',
+        'Preferred subsets',
     ),
     Mutant(
         'maps: a map is sent whole each time', 'groups',
@@ -481,8 +483,8 @@
     ),
     Mutant(
         'placing: slow runners like others', 'backends',
-        'return [b for b in sound if b.pace < SLOW_PACE] or sound',
-        'return sound',
+        '[b for b in healthy if b.slowdown < AVOID_SLOWDOWN] or healthy',
+        'healthy',
         'mapplans', 'slow runner',
     ),
     Mutant(
@@ -557,13 +559,13 @@
     ),
     Mutant(
         'forwarding: streams stay at a slow runner', 'forwarding',
-        'if backend.pace < backends.LEAVE_PACE:', 'if True:', 'forwarding',
-        'becomes',
+        'if backend.slowdown < backends.MIGRATE_SLOWDOWN:', 'if True:',
+        'forwarding', 'becomes',
     ),
     Mutant(
         'forwarding: streams leave at any pace', 'forwarding',
-        'if backend.pace < backends.LEAVE_PACE:', 'if False:', 'forwarding',
-        'becomes',
+        'if backend.slowdown < backends.MIGRATE_SLOWDOWN:', 'if False:',
+        'forwarding', 'becomes',
     ),
     Mutant(
         'forwarding: no wait for the first routes', 'forwarding',
@@ -572,17 +574,17 @@
     ),
     Mutant(
         'picking: a closed group is not waited for', 'picking',
-        'closed_for_s is not None and closed_for_s < closures.HOPE_S',
-        'False', 'forwarding', 'closed',
+        'and closed_for_s < groupstates.MAX_CLOSED_WAIT_S', 'and False',
+        'forwarding', 'closed',
     ),
     Mutant(
         'picking: a group without hope is waited for', 'picking',
-        'closed_for_s is not None and closed_for_s < closures.HOPE_S',
-        'closed_for_s is not None', 'forwarding', 'closed',
+        'and closed_for_s < groupstates.MAX_CLOSED_WAIT_S', '', 'forwarding',
+        'closed',
     ),
     Mutant(
         'picking: all requests find out about a view', 'picking',
-        'return self.has_ranks(service) and self.known.is_proving(service)',
+        'return self.has_ranks(service) and self.known.is_probing(service)',
         'return False', 'closedgroups',
     ),
     Mutant(
@@ -595,9 +597,9 @@
         'if is_full and not backend.replaced:', 'if False:', 'closedgroups',
     ),
     Mutant(
-        'closures: who was refused tries again blindly', 'closures',
-        'return was_refused or now_s - self._refused_s < REFUSED_S',
-        'return now_s - self._refused_s < REFUSED_S', 'closedgroups',
+        'closures: who was refused tries again blindly', 'groupstates',
+        'return was_refused or now_s - self._refused_s < REFUSAL_VALID_S',
+        'return now_s - self._refused_s < REFUSAL_VALID_S', 'closedgroups',
     ),
     Mutant(
         'forwarding: no 421 is understood', 'forwarding',
@@ -644,7 +646,7 @@
     ),
     Mutant(
         'rests: second tries go to idle runners too', 'backends',
-        'fit = [b for b in fit if self._is_at_work(b)] or fit', 'pass',
+        'fit = [b for b in fit if self._is_working(b)] or fit', 'pass',
         'rests',
     ),
     Mutant(
@@ -936,7 +938,7 @@
     ),
     Mutant(
         'lives: a gateway keeps a former life', 'backends',
-        'if backend is None or not backend.is_life_of(instance):',
+        'if backend is None or not backend.is_same_incarnation(instance):',
         'if backend is None:', 'lives',
     ),
     Mutant(
@@ -1146,22 +1148,22 @@
                 raise errors.NoController''',
         '''            if False:
                 raise errors.NoController''',
-        'halls', 'stands still',
+        'halls', 'is suspended',
     ),
     Mutant(
         'halls: an order that met another is given up', 'hallorders',
         '                continue\n', '                raise\n',
-        'halls', 'decided anew',
+        'halls', 'conflicts with a newer',
     ),
     Mutant(
         'halls: the caller is not watched', 'httpserver',
         'if not data:\n            scope.cancel()',
-        'if not data:\n            pass', 'halls', 'caller has left',
+        'if not data:\n            pass', 'halls', 'caller disconnects',
     ),
     Mutant(
         'halls: settings that are read again change none', 'hallorders',
         "        self._halls = settings['halls']", '        pass',
-        'halls', 'read again',
+        'halls', 'Reloaded settings',
     ),
     Mutant(
         'halls: any name is taken', 'hallorders',
@@ -1175,7 +1177,7 @@
     ),
     Mutant(
         'halls: requests wait where all are out', 'picking',
-        '''if self.known.is_all_out(exchange.service):
+        '''if self.known.all_halls_out(exchange.service):
             return False''',
         '''if False:
             return False''',
@@ -1187,17 +1189,19 @@
         '        self._follow_quarantine()', 'halls', 'Two halls',
     ),
     Mutant(
-        'halls: a return is a wave', 'returns',
-        'return max(0.0, 1.0 - back_s / RAMP_S)', 'return 0.0',
-        'halls', 'is a ramp',
+        'halls: a return is a wave', 'slowstart',
+        'return max(0.0, 1.0 - restored_for_s / RAMP_S)', 'return 0.0',
+        'halls', 'is ramped up',
     ),
     Mutant(
         'halls: the own part knows no ramp', 'backends',
-        'best = self._of_own_part(sound, occupancy, rng)',
-        '''best = self._of_own_part(
-            sound, lambda b: b.occupancy(self.rest_s, now_s), rng
+        'best = self._pick_preferred(candidates, occupancy, rng)',
+        '''best = self._pick_preferred(
+            candidates,
+            lambda b: b.occupancy(self.report_interval_s, now_s),
+            rng,
         )''',
-        'halls', 'is a ramp',
+        'halls', 'is ramped up',
     ),
     Mutant(
         'forwarding: what is under way is called not run', 'forwarding',
@@ -1217,7 +1221,7 @@
     ),
     Mutant(
         'budgets: no bound', 'budgets',
-        'if len(repeated) + 1 > most:', 'if False:', 'entry', 'budget',
+        'if len(retries) + 1 > quota:', 'if False:', 'entry', 'budget',
     ),
     Mutant(
         'entry: a planned stop waits for no answer', 'entry',
@@ -1273,7 +1277,7 @@
     ),
     Mutant(
         'backends: cold runners like others', 'backends',
-        'more += COLD_COST', 'pass', 'warmup',
+        'added += COLD_COST', 'pass', 'warmup',
     ),
     Mutant(
         'lines: only in order of arrival', 'waitqueues',
@@ -1287,7 +1291,8 @@
     ),
     Mutant(
         'picking: all owned elsewhere is waited for', 'picking',
-        'return now_s - since_s < closures.HOPE_S', 'return True', 'warmup',
+        'return now_s - since_s < groupstates.MAX_CLOSED_WAIT_S',
+        'return True', 'warmup',
     ),
 )  # fmt: skip
 
