--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A routed request's way: filters, a runner, its answer, the next try.
+"""Forwarding of routed requests: filters, runner selection, retries.
 
-A try ends in one of three ways, and never in fewer: the request ran, it
-certainly did not run, or that is not known. Only what did not run, or may
-run more than once, is tried again; a refusal that says "not run" is given
-only where no try could have run.
+An attempt has one of three outcomes: the request ran, it certainly did not
+run, or the outcome is unknown. Only requests that did not run, or that are
+repeatable, are retried. A "not run" error is returned only where no attempt
+can have run.
 """
 
 import math
@@ -25,29 +25,27 @@
 __all__ = ['Exchange', 'Forwarder']
 
 Exchange = routedexchanges.Exchange
-_told, _ms = routedexchanges.told, routedexchanges.ms
-
-#: Past its time a request is ended this much later, so that an answer that
-#: is just coming is still given; operators allow 500 ms.
-LATE_S = 0.05
-#: How long a request may wait in a process that has just started and knows
-#: no routes yet. After a loss of all power an election and a first lease
-#: took 0.4 to 0.9 s from the start, in played days. A caller that has come
-#: back once will not do so again, so this serves it where a refusal would not.
+_runner_fields, _to_ms = routedexchanges.runner_fields, routedexchanges.to_ms
+
+#: A request is cancelled this long after its deadline, so that an answer that
+#: is already arriving is still returned.
+DEADLINE_GRACE_S = 0.05
+#: How long a request may wait in a process that has just started and has no
+#: routes yet: longer than an election and a first lease, since many callers
+#: retry only once.
 ROUTES_WAIT_S = 1.5
-#: Tries of one request that may meet another runner than the one meant and
-#: so ran nowhere; more than that and the known runners are worth nothing.
-MOST_MISDIRECTED = 3
-#: Least time left in which another try makes sense.
-LEAST_LEFT_S = 0.05
-#: When refused callers come back, spread to 1.5 times. Many callers come
-#: back once only, so the time is when the cause is likely over: a group
-#: that has lost a rank forms anew within 1 to 3 s, a process that has just
-#: started knows routes and runners within 2 s, a full runner has a slot
-#: within the second or so that an answer takes. A process that is about to
-#: end leaves all others, at once, and so does one where all runners that can
-#: turn cold have other owners. When operators put a hall back can't be told;
-#: by then all gateways obey what they have ordered until now.
+#: Misdirected attempts of one request that do not count as attempts; with
+#: more, the registrations are taken to be out of date.
+MAX_UNCOUNTED_MISDIRECTED = 3
+#: No retry is made with less time than this until the deadline.
+MIN_RETRY_TIME_S = 0.05
+#: Retry-After of refused requests, before jitter of up to 1.5 times. Many
+#: callers retry only once, so each is the time by which the cause is likely
+#: over: a group that has lost a rank has formed again, a process that has
+#: just started has routes and runners, a full runner has a free slot. Where
+#: another gateway can serve the request at once (this one is draining, or
+#: others own the runners that may become cold) it is short. The return of a
+#: drained hall can't be predicted.
 COME_BACK_S: dict[type[errors.MountridgeError], float] = {
     errors.Draining: 0.1,
     errors.NoRoutes: 1.8,
@@ -58,13 +56,13 @@
     errors.RunnersCold: 0.1,
     errors.HallsOut: 5.0,
 }
-#: For causes that are not listed.
-COME_BACK_ELSE_S = 1.0
+#: For errors that are not listed.
+DEFAULT_RETRY_AFTER_S = 1.0
 
-#: A runner says by this status that it is not the one that was meant.
+#: Status of a runner that is not the expected instance.
 MISDIRECTED = 421
-#: What does not count against a runner's health.
-NOT_ITS_FAULT = (
+#: Errors that do not count as failures of the runner.
+NOT_RUNNER_FAILURES = (
     errors.DeadlinePassed,
     errors.RunnerRefused,
     errors.RunnerReplaced,
@@ -74,7 +72,7 @@
 
 
 class Forwarder:
-    """Takes requests through the filters and to runners."""
+    """Applies the filters to requests and forwards them to runners."""
 
     def __init__(
         self,
@@ -82,28 +80,30 @@
         dialect: dialects.Dialect,
         index: typing.Callable[[], routes.Index | None],
         known: backends.Backends,
-        gateways: typing.Callable[[], int],
+        gateway_count: typing.Callable[[], int],
     ):
         self.app = app
         self.dialect = dialect
         self.known = known
-        #: Whether this process is about to end and takes no more requests.
+        #: Whether this process is shutting down and refuses new requests.
         self.closed = False
-        #: Set once there are routes at all.
+        #: Set when the first routes have been loaded.
         self.routes_known = trio.Event()
         self.rng = random.Random(app.incarnation)
         self.pool = lasthop.Pool(dialect.headers, app.now_s)
         self._index = index
-        self._gateways = gateways
+        self._gateway_count = gateway_count
         bounds = app.settings['bounds']
         self.budget = budgets.RetryBudget(
             bounds['retry_ratio'],
             bounds['retry_slack'],
             bounds['retry_window_s'],
         )
-        self.picker = picking.Picker(app, index, known, gateways, self.rng)
-        #: Until when each open request may take.
-        self._open_until_s: dict[trio.CancelScope, float] = {}
+        self.picker = picking.Picker(
+            app, index, known, gateway_count, self.rng
+        )
+        #: Times at which open requests are cancelled.
+        self._cancel_at_s: dict[trio.CancelScope, float] = {}
         self.quarantine = quarantine.Quarantine(app.settings['digest_key'])
         self.crashes = crashwatch.CrashWatch(
             app, self.quarantine, known.rests, self.picker.has_ranks
@@ -114,34 +114,34 @@
     async def handle(
         self, request: httpserver.Request, responder: httpserver.Responder
     ) -> None:
-        """Answer one request, or cut the connection off."""
+        """Answer one request, or close the connection before its end."""
         exchange = Exchange(request, responder, self.app.now_s())
         try:
             await self._run(exchange)
-            self._log(exchange, 'answered')
+            self._log_request(exchange, 'answered')
         except errors.MountridgeError as problem:
-            await self._give_up(exchange, problem)
+            await self._answer_error(exchange, problem)
         except trio.Cancelled:
-            self._log(exchange, 'caller left')
+            self._log_request(exchange, 'caller left')
             raise
 
-    async def _give_up(
+    async def _answer_error(
         self, exchange: Exchange, problem: errors.MountridgeError
     ) -> None:
         if exchange.may_have_run and problem.outcome == errors.NOT_RUN:
-            # True of the last try, not of all.
+            # The last attempt did not run, but an earlier one may have.
             problem = errors.OutcomeUnknown(str(problem))
         self.app.metrics.incr(f'refused.{problem.code}')
-        self._log(exchange, 'failed', problem)
+        self._log_request(exchange, 'failed', problem)
         if exchange.responder.started:
-            # The caller sees a cut: no end of the answer is sent.
+            # No end of the answer is sent, so the caller sees it truncated.
             return
         if problem.status in (429, 503) and problem.retry_after_s is None:
-            base_s = COME_BACK_S.get(type(problem), COME_BACK_ELSE_S)
+            base_s = COME_BACK_S.get(type(problem), DEFAULT_RETRY_AFTER_S)
             problem.retry_after_s = utils.spread(base_s, self.rng)
         await httpserver.refuse(exchange.responder, problem)
 
-    def _log(
+    def _log_request(
         self,
         exchange: Exchange,
         outcome: str,
@@ -165,17 +165,17 @@
             code=problem.code if problem else 0,
             reason=str(problem) if problem else '',
             status=exchange.status or (problem.status if problem else 0),
-            **_told(exchange.picked, now_s),
+            **_runner_fields(exchange.picked, now_s),
             prompt_tokens=call.prompt_tokens if call else 0,
             output_tokens=call.output_tokens if call else 0,
             tries=exchange.tries,
             events=exchange.events_sent,
-            longest_gap_ms=_ms(exchange.longest_gap_s),
-            first_ms=_ms(first_s and first_s - exchange.begun_s),
-            took_ms=_ms(now_s - exchange.begun_s),
+            longest_gap_ms=_to_ms(exchange.longest_gap_s),
+            first_ms=_to_ms(first_s and first_s - exchange.begun_s),
+            took_ms=_to_ms(now_s - exchange.begun_s),
         )
 
-    # Tries.
+    # Attempts.
 
     async def _run(self, exchange: Exchange) -> None:
         if self.closed:
@@ -183,46 +183,46 @@
         if self._index() is None:
             with trio.move_on_after(ROUTES_WAIT_S):
                 await self.routes_known.wait()
-        for each in self.filters:
-            each(exchange, self.app.now_s())
+        for apply_filter in self.filters:
+            apply_filter(exchange, self.app.now_s())
         self.budget.first(exchange.service, self.app.now_s())
-        # trio's own clock has another origin than the application's.
-        until_s = exchange.until_s + LATE_S
+        # trio's clock and the application's have different origins.
+        until_s = exchange.until_s + DEADLINE_GRACE_S
         with trio.move_on_after(until_s - self.app.now_s()) as scope:
-            self._open_until_s[scope] = until_s
+            self._cancel_at_s[scope] = until_s
             try:
-                await self._try_runners(exchange)
+                await self._run_attempts(exchange)
             finally:
-                del self._open_until_s[scope]
+                del self._cancel_at_s[scope]
         if scope.cancelled_caught:
-            raise self._out_of_time(exchange)
+            raise self._timeout_error(exchange)
 
     def end_late(self, now_s: float) -> None:
-        """End requests whose time is over; timers stop in a suspension."""
-        for scope, until_s in self._open_until_s.items():
+        """Cancel overdue requests; timers stop while a box is suspended."""
+        for scope, until_s in self._cancel_at_s.items():
             if until_s <= now_s:
                 scope.cancel()
 
-    def _out_of_time(self, exchange: Exchange) -> errors.MountridgeError:
+    def _timeout_error(self, exchange: Exchange) -> errors.MountridgeError:
         if exchange.may_have_run or exchange.is_under_way:
             return errors.TimedOut()
         return errors.DeadlinePassed()
 
-    async def _try_runners(self, exchange: Exchange) -> None:
+    async def _run_attempts(self, exchange: Exchange) -> None:
         while True:
             picked = await self.picker.pick(exchange)
             if not self.crashes.may_try_again(exchange, self.app.now_s()):
-                # It was proved to crash runners while it waited for one.
+                # It was quarantined while it waited for a runner.
                 raise errors.OutcomeUnknown('its runner crashed')
             try:
-                await self._try(exchange, picked)
+                await self._attempt(exchange, picked)
                 return
             except errors.MountridgeError as problem:
-                self._note_failure(exchange, picked, problem)
+                self._record_failure(exchange, picked, problem)
                 await self.crashes.look(
                     exchange, picked.backend.instance, problem, self.pool
                 )
-                if self._may_go_on(exchange, problem):
+                if self._may_retry(exchange, problem):
                     continue
                 if exchange.failure is None or exchange.responder.started:
                     raise
@@ -231,7 +231,7 @@
                 )
                 return
 
-    def _note_failure(
+    def _record_failure(
         self,
         exchange: Exchange,
         picked: backends.Picked,
@@ -241,22 +241,22 @@
         exchange.is_under_way = False
         if problem.outcome != errors.NOT_RUN:
             exchange.may_have_run = True
-        if not isinstance(problem, NOT_ITS_FAULT):
+        if not isinstance(problem, NOT_RUNNER_FAILURES):
             picked.backend.failed(now_s)
         logger.info(
-            'try failed',
+            'attempt failed',
             request=exchange.call.request_id,
             code=problem.code,
             outcome=problem.outcome,
             reason=str(problem),
-            **_told(picked, now_s),
-            took_ms=_ms(now_s - exchange.begun_s),
+            **_runner_fields(picked, now_s),
+            took_ms=_to_ms(now_s - exchange.begun_s),
         )
 
-    def _may_go_on(
+    def _may_retry(
         self, exchange: Exchange, problem: errors.MountridgeError
     ) -> bool:
-        """Return whether another runner may be tried, and count it."""
+        """Return whether to retry on another runner, and count the retry."""
         if exchange.next_allowed:
             exchange.next_allowed = False
             return True
@@ -265,11 +265,14 @@
             exchange.misdirected += 1
         is_unsent = isinstance(problem, errors.RunnersResting)
         exchange.unsent += is_unsent
-        spared = min(exchange.misdirected, MOST_MISDIRECTED) + exchange.unsent
-        if exchange.tries - spared >= route.most_attempts:
+        uncounted = (
+            min(exchange.misdirected, MAX_UNCOUNTED_MISDIRECTED)
+            + exchange.unsent
+        )
+        if exchange.tries - uncounted >= route.most_attempts:
             return False
         now_s = self.app.now_s()
-        if exchange.until_s - now_s < LEAST_LEFT_S:
+        if exchange.until_s - now_s < MIN_RETRY_TIME_S:
             return False
         if is_unsent:
             return True
@@ -279,13 +282,15 @@
             return False
         if exchange.events_sent and not route.resumable:
             return False
-        return self.budget.take(exchange.service, self._gateways(), now_s)
+        return self.budget.take(exchange.service, self._gateway_count(), now_s)
 
-    async def _try(self, exchange: Exchange, picked: backends.Picked) -> None:
-        """Send the request to one runner and give its answer.
+    async def _attempt(
+        self, exchange: Exchange, picked: backends.Picked
+    ) -> None:
+        """Send the request to one runner and forward its answer.
 
-        :raises MountridgeError: the try failed; what was given to the
-            caller stays given.
+        :raises MountridgeError: the attempt failed; a part of the answer
+            may have been sent to the caller.
         """
         backend = picked.backend
         request = exchange.request
@@ -294,7 +299,7 @@
         exchange.is_under_way = True
         exchange.tried.add(backend.instance.instance_id)
         send = self.known.began(backend, self.app.now_s())
-        is_trial = self.known.rests.begin(backend.instance)
+        is_probe = self.known.rests.begin(backend.instance)
         try:
             async with self.pool.request(
                 backend.instance.address,
@@ -303,42 +308,45 @@
                 self._runner_headers(exchange, backend),
                 request.body,
                 exchange.call.request_id,
-                lambda: self._leaves(backend, send, exchange.until_s),
+                lambda: self._before_send(backend, send, exchange.until_s),
             ) as reply:
                 if reply.head.status == MISDIRECTED:
                     send.take_back()
-                await self._give_reply(exchange, backend, reply)
+                await self._forward_reply(exchange, backend, reply)
         finally:
             if not send.has_left:
                 send.take_back()
-            if is_trial:
+            if is_probe:
                 self.known.rests.end_trial(backend.instance)
             backend.ended()
 
-    def _leaves(
+    def _before_send(
         self, backend: backends.Backend, send: warmup.Send, until_s: float
     ) -> None:
-        """Note that a request leaves now, if its runner still wants it.
+        """Check that a request may still be sent, and record that it is.
 
-        It was placed before it waited for a connection. What the runner has
-        told since holds for it too.
+        The runner was selected before the connection was made, and may have
+        requested a backoff or reported that it is leaving since then.
 
-        :raises RunnersResting: it wants none now; nothing is sent.
-        :raises DeadlinePassed: its time is over; nothing is sent.
+        :raises RunnersResting: the runner is backing off or leaving; nothing
+            is sent.
+        :raises DeadlinePassed: the deadline has passed; nothing is sent.
         """
         now_s = self.app.now_s()
         if now_s >= until_s:
             raise errors.DeadlinePassed()
         if not self.known.rests.allows(backend.instance, now_s):
             self.app.metrics.incr('rest.held_back')
-            raise errors.RunnersResting('the runner wants none, since placed')
+            raise errors.RunnersResting(
+                'the runner is backing off or leaving since it was selected'
+            )
         send.leaves(now_s)
 
     def _runner_headers(
         self, exchange: Exchange, backend: backends.Backend
     ) -> list[tuple[bytes, bytes]]:
         names = self.dialect.headers
-        left_ms = max(1, int(_ms(exchange.until_s - self.app.now_s())))
+        left_ms = max(1, int(_to_ms(exchange.until_s - self.app.now_s())))
         instance_id = backend.instance.instance_id.encode('latin-1')
         added = [
             (names.deadline_ms, b'%d' % left_ms),
@@ -353,7 +361,7 @@
 
     # Answers.
 
-    async def _give_reply(
+    async def _forward_reply(
         self,
         exchange: Exchange,
         backend: backends.Backend,
@@ -367,12 +375,12 @@
             backend.replaced = True
             if self.picker.has_ranks(exchange.service):
                 self.known.refused(backend, now_s)
-            raise errors.RunnerReplaced(f'it answered {head.status}')
-        self._hear(exchange, backend.instance, head)
+            raise errors.RunnerReplaced(f'the runner answered {head.status}')
+        self._apply_announcements(exchange, backend.instance, head)
         if head.not_run:
-            # One that asks for rest speaks for itself, not for its group.
-            is_own_word = head.rest_s is not None
-            if self.picker.has_ranks(exchange.service) and not is_own_word:
+            # A backoff concerns this runner alone, not its group.
+            is_backoff = head.rest_s is not None
+            if self.picker.has_ranks(exchange.service) and not is_backoff:
                 self.known.refused(backend, now_s)
             raise errors.RunnerRefused(f'the runner answered {head.status}')
         exchange.may_have_run = True
@@ -381,55 +389,63 @@
             exchange,
             reply,
             self.app.now_s,
-            lambda: self._leave_slow(exchange, backend),
+            lambda: self._leave_slow_runner(exchange, backend),
         )
         backend.succeeded()
         self.crashes.ended_well(exchange)
 
-    def _hear(
+    def _apply_announcements(
         self,
         exchange: Exchange,
         runner: instances.Instance,
         head: dialects.ReplyHead,
     ) -> None:
-        """Take what a runner asks for the time to come, beside its answer.
+        """Record a backoff or a drain that a runner's answer announces.
 
-        Its registration and its load tell nothing of it: without this a
-        runner that turns all away is the least loaded of all.
+        Neither shows in its registration or its load: without this, a runner
+        that refuses all requests would seem the least loaded one.
         """
         now_s = self.app.now_s()
-        told = {
+        fields = {
             'request': exchange.call.request_id,
             'runner': runner.instance_id,
         }
         if head.rest_s is not None:
-            over_s = self.known.rests.ask(runner, head.rest_s, now_s)
+            backoff_until_s = self.known.rests.ask(runner, head.rest_s, now_s)
             self.app.metrics.incr('rest.asked')
             if math.isnan(head.rest_s):
                 self.app.metrics.incr('runner.malformed.rest')
-            rest_ms = _ms(over_s - now_s)
-            logger.info('runner asks for rest', **told, rest_ms=rest_ms)
+            rest_ms = _to_ms(backoff_until_s - now_s)
+            logger.info(
+                'runner requested a backoff', **fields, rest_ms=rest_ms
+            )
         if head.is_leaving and self.known.rests.leave(runner):
             self.app.metrics.incr('runner.says_leaving')
             state = runner.state
-            logger.info('runner says that it leaves', **told, held_state=state)
+            logger.info(
+                'runner announced that it is leaving',
+                **fields,
+                held_state=state,
+            )
 
-    def _leave_slow(
+    def _leave_slow_runner(
         self, exchange: Exchange, backend: backends.Backend
     ) -> None:
-        """Let a stream go on elsewhere where its runner has become slow.
+        """Move a stream to another runner where its runner has become slow.
 
-        In a group all ranks wait for the slowest, which is fast again as
-        soon as it has nothing to do.
+        In a group all ranks wait for the slowest one, which recovers as soon
+        as it has no requests.
 
-        :raises RunnerSlow: another runner may go on with it.
+        :raises RunnerSlow: another runner may resume the stream.
         """
         if backend.pace < backends.LEAVE_PACE:
             return
         others = self.known.of_service(exchange.service)
         if all(other.pace >= backends.SLOW_PACE for other in others):
             return
-        problem = errors.RunnerSlow(f'at {backend.pace:.1f} times its time')
-        if self._may_go_on(exchange, problem):
+        problem = errors.RunnerSlow(
+            f'at {backend.pace:.1f} times its usual step time'
+        )
+        if self._may_retry(exchange, problem):
             exchange.next_allowed = True
             raise problem
--- a/mountridge/routing/routedexchanges.py
+++ b/mountridge/routing/routedexchanges.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The state of one routed request on its way, and how log lines tell it."""
+"""The state of one routed request, and its fields in log lines."""
 
 import typing
 
@@ -8,11 +8,11 @@
 from mountridge.net import dialects, httpserver
 from mountridge.routing import backends
 
-__all__ = ['Answer', 'Exchange', 'ms', 'told']
+__all__ = ['Answer', 'Exchange', 'runner_fields', 'to_ms']
 
 
 class Answer(typing.NamedTuple):
-    """A whole answer of a runner."""
+    """A complete answer of a runner."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -20,7 +20,7 @@
 
 
 class Exchange:
-    """State of one request on its way."""
+    """State of one request from its arrival to the end of its answer."""
 
     def __init__(
         self,
@@ -39,35 +39,36 @@
         self.until_s = now_s
         self.tries = 0
         self.tried: set[str] = set()
-        #: Tries that met another runner than the one that was meant.
+        #: Attempts that reached a runner other than the expected instance.
         self.misdirected = 0
-        #: Tries that ended before anything was sent.
+        #: Attempts that ended before anything was sent.
         self.unsent = 0
-        #: What stands for the request among those that crash runners.
+        #: Digest that identifies the request in the quarantine; empty until
+        #: it is needed.
         self.digest = b''
-        #: Whether a runner has crashed while it ran this request.
+        #: Whether the request may have crashed the runner that ran it last.
         self.is_suspect = False
-        #: Events given when the present try began.
+        #: Events sent to the caller when the current attempt started.
         self.events_at_try = 0
-        #: Whether any try may have run.
+        #: Whether any attempt may have run.
         self.may_have_run = False
-        #: Whether a try was sent that has not ended; it may be running.
+        #: Whether an attempt was started and has not ended; it may be running.
         self.is_under_way = False
         self.last_event_id: int | None = None
         self.events_sent = 0
         self.first_data_s: float | None = None
         self.last_data_s = now_s
-        #: Longest pause between two messages with events.
+        #: Longest gap between two sends of events.
         self.longest_gap_s = 0.0
         self.status = 0
         self.picked: backends.Picked | None = None
-        #: Whether the next try has been counted and allowed already.
+        #: Whether the next retry has already been allowed and counted.
         self.next_allowed = False
-        #: A runner's own failure, given where no other runner is tried.
+        #: Error answer of a runner, returned where no retry follows.
         self.failure: Answer | None = None
 
     def note_events(self, count: int, now_s: float) -> None:
-        """Note that events are given to the caller now."""
+        """Record that events are sent to the caller now."""
         if self.first_data_s is None:
             self.first_data_s = now_s
         else:
@@ -77,8 +78,8 @@
         self.events_sent += count
 
 
-def told(picked: backends.Picked | None, now_s: float) -> dict:
-    """Return the fields of a log line on the runner that was taken."""
+def runner_fields(picked: backends.Picked | None, now_s: float) -> dict:
+    """Return the fields of a log line on the selected runner."""
     if picked is None:
         return {}
     backend = picked.backend
@@ -86,11 +87,11 @@
         'runner': backend.instance.instance_id,
         'cold': backend.instance.is_cold,
         'load': picked.load,
-        'load_age_ms': ms(min(picked.report_age_s, 999)),
+        'load_age_ms': to_ms(min(picked.report_age_s, 999)),
         'among': picked.among,
     }
 
 
-def ms(span_s: float | None) -> float:
-    """Return a span in milliseconds, 0 for none, as log lines tell it."""
+def to_ms(span_s: float | None) -> float:
+    """Return a duration in milliseconds for log lines; 0 for None."""
     return round((span_s or 0.0) * 1000, 1)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -635,7 +635,7 @@
     ),
     Mutant(
         'rests: one closes its group', 'forwarding',
-        'self.picker.has_ranks(exchange.service) and not is_own_word',
+        'self.picker.has_ranks(exchange.service) and not is_backoff',
         'self.picker.has_ranks(exchange.service)', 'rests',
     ),
     Mutant(
