--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -154,7 +154,7 @@
                 return
             except errors.MountridgeError as problem:
                 self.codes[problem.code] += 1
-                else_s = forwarding.COME_BACK_S[type(problem)]
+                else_s = forwarding.RETRY_AFTER_S[type(problem)]
                 rest_s = problem.retry_after_s or else_s
             await trio.sleep(min(rest_s, (until_s - self.now_s()) / 3))
 
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -46,7 +46,7 @@
 #: another gateway can serve the request at once (this one is draining, or
 #: others own the runners that may become cold) it is short. The return of a
 #: drained hall can't be predicted.
-COME_BACK_S: dict[type[errors.MountridgeError], float] = {
+RETRY_AFTER_S: dict[type[errors.MountridgeError], float] = {
     errors.Draining: 0.1,
     errors.NoRoutes: 1.8,
     errors.NoRunner: 1.8,
@@ -137,7 +137,7 @@
             # No end of the answer is sent, so the caller sees it truncated.
             return
         if problem.status in (429, 503) and problem.retry_after_s is None:
-            base_s = COME_BACK_S.get(type(problem), DEFAULT_RETRY_AFTER_S)
+            base_s = RETRY_AFTER_S.get(type(problem), DEFAULT_RETRY_AFTER_S)
             problem.retry_after_s = utils.spread(base_s, self.rng)
         await httpserver.refuse(exchange.responder, problem)
 
