--- a/features/worlds/rests.py
+++ b/features/worlds/rests.py
@@ -158,7 +158,7 @@
         """Let real time go on, and no timer."""
         self.slept_s += span_s
         for gateway in self.gateways.values() if is_noticed else ():
-            gateway.end_late(self.now_s())
+            gateway.cancel_overdue(self.now_s())
 
     def put(self, runner: Runner) -> None:
         """Put a runner, or a later life of one, at its address."""
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -84,7 +84,9 @@
             self.backends,
             lambda: len(self.gateways()),
         )
-        app.on_gap.append(lambda gap_s: self.forwarder.end_late(app.now_s()))
+        app.on_gap.append(
+            lambda gap_s: self.forwarder.cancel_overdue(app.now_s())
+        )
         self.hall_orders = hallorders.HallOrders(app, self.leader.call)
         self.crash_reports = crashreports.CrashReports(
             app, self.forwarder.quarantine, self.leader.call
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -197,7 +197,7 @@
         if scope.cancelled_caught:
             raise self._timeout_error(exchange)
 
-    def end_late(self, now_s: float) -> None:
+    def cancel_overdue(self, now_s: float) -> None:
         """Cancel overdue requests; timers stop while a box is suspended."""
         for scope, until_s in self._cancel_at_s.items():
             if until_s <= now_s:
