--- a/features/steps/closedgroups_steps.py
+++ b/features/steps/closedgroups_steps.py
@@ -207,19 +207,19 @@
         self.asked += 1
         now_s = trio.current_time()
         exchange = types.SimpleNamespace(
-            service='s', tried=set(), begun_s=now_s, until_s=now_s + 8.0
+            service='s', attempted=set(), begun_s=now_s, deadline_s=now_s + 8.0
         )
         while not await self.is_taken(gateway, exchange):
             self.refused[gateway] += 1
         self.served += 1
-        self.most_tries = max(self.most_tries, len(exchange.tried))
+        self.most_tries = max(self.most_tries, len(exchange.attempted))
 
     async def is_taken(self, gateway, exchange):
         known = self.known[gateway]
         picked = await self.pickers[gateway].pick(exchange)
         backend = picked.backend
         number = int(backend.instance.instance_id[2:])
-        exchange.tried.add(backend.instance.instance_id)
+        exchange.attempted.add(backend.instance.instance_id)
         backend.began(trio.current_time())
         takes = trio.current_time() >= self.opens_s
         is_gone = self.is_stale and number < FRESH
--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -160,14 +160,15 @@
 
     async def send(self, name, number, until_s):
         exchange = types.SimpleNamespace(
-            service='s', tried=set(), begun_s=self.now_s(), until_s=until_s,
+            service='s', attempted=set(), begun_s=self.now_s(),
+            deadline_s=until_s,
             team=None, route=types.SimpleNamespace(priority=1),
         )  # fmt: skip
         known = self.known[name]
         for _ in range(MOST_TRIES):
             picked = await self.pickers[name].pick(exchange)
             backend = picked.backend
-            exchange.tried.add(backend.instance.instance_id)
+            exchange.attempted.add(backend.instance.instance_id)
             send = known.began(backend, self.now_s())
             try:
                 if await self.is_taken(known, backend, send, number):
@@ -533,7 +534,8 @@
     def exchange(self, priority=1, tried=()):
         now_s = trio.current_time()
         return types.SimpleNamespace(
-            service='s', tried=set(tried), begun_s=now_s, until_s=now_s + 8,
+            service='s', attempted=set(tried), begun_s=now_s,
+            deadline_s=now_s + 8,
             team=None, route=types.SimpleNamespace(priority=priority),
         )  # fmt: skip
 
--- a/mountridge/routing/crashwatch.py
+++ b/mountridge/routing/crashwatch.py
@@ -67,7 +67,7 @@
         digest = routefilters.find_digest(self._quarantine, exchange)
         self._quarantine.crashed(digest, runner, now_s)
         # What crashes its runners does so as they begin to run it.
-        exchange.is_suspect = exchange.events_sent == exchange.events_at_try
+        exchange.is_suspect = exchange.events_sent == exchange.events_before
         self._app.metrics.incr('quarantine.crashes')
         logger.info(
             'runner crashed',
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -168,7 +168,7 @@
             **_runner_fields(exchange.picked, now_s),
             prompt_tokens=call.prompt_tokens if call else 0,
             output_tokens=call.output_tokens if call else 0,
-            tries=exchange.tries,
+            tries=exchange.attempts,
             events=exchange.events_sent,
             longest_gap_ms=_to_ms(exchange.longest_gap_s),
             first_ms=_to_ms(first_s and first_s - exchange.begun_s),
@@ -187,7 +187,7 @@
             apply_filter(exchange, self.app.now_s())
         self.budget.first(exchange.service, self.app.now_s())
         # trio's clock and the application's have different origins.
-        until_s = exchange.until_s + DEADLINE_GRACE_S
+        until_s = exchange.deadline_s + DEADLINE_GRACE_S
         with trio.move_on_after(until_s - self.app.now_s()) as scope:
             self._cancel_at_s[scope] = until_s
             try:
@@ -204,7 +204,7 @@
                 scope.cancel()
 
     def _timeout_error(self, exchange: Exchange) -> errors.MountridgeError:
-        if exchange.may_have_run or exchange.is_under_way:
+        if exchange.may_have_run or exchange.is_in_flight:
             return errors.TimedOut()
         return errors.DeadlinePassed()
 
@@ -224,10 +224,10 @@
                 )
                 if self._may_retry(exchange, problem):
                     continue
-                if exchange.failure is None or exchange.responder.started:
+                if exchange.error_answer is None or exchange.responder.started:
                     raise
                 await routedanswers.send_whole(
-                    exchange, exchange.failure, self.app.now_s()
+                    exchange, exchange.error_answer, self.app.now_s()
                 )
                 return
 
@@ -238,7 +238,7 @@
         problem: errors.MountridgeError,
     ) -> None:
         now_s = self.app.now_s()
-        exchange.is_under_way = False
+        exchange.is_in_flight = False
         if problem.outcome != errors.NOT_RUN:
             exchange.may_have_run = True
         if not isinstance(problem, NOT_RUNNER_FAILURES):
@@ -257,22 +257,22 @@
         self, exchange: Exchange, problem: errors.MountridgeError
     ) -> bool:
         """Return whether to retry on another runner, and count the retry."""
-        if exchange.next_allowed:
-            exchange.next_allowed = False
+        if exchange.retry_granted:
+            exchange.retry_granted = False
             return True
         route = exchange.route
         if isinstance(problem, errors.RunnerReplaced):
-            exchange.misdirected += 1
+            exchange.misdirected_attempts += 1
         is_unsent = isinstance(problem, errors.RunnersResting)
-        exchange.unsent += is_unsent
+        exchange.unsent_attempts += is_unsent
         uncounted = (
-            min(exchange.misdirected, MAX_UNCOUNTED_MISDIRECTED)
-            + exchange.unsent
+            min(exchange.misdirected_attempts, MAX_UNCOUNTED_MISDIRECTED)
+            + exchange.unsent_attempts
         )
-        if exchange.tries - uncounted >= route.most_attempts:
+        if exchange.attempts - uncounted >= route.most_attempts:
             return False
         now_s = self.app.now_s()
-        if exchange.until_s - now_s < MIN_RETRY_TIME_S:
+        if exchange.deadline_s - now_s < MIN_RETRY_TIME_S:
             return False
         if is_unsent:
             return True
@@ -294,10 +294,10 @@
         """
         backend = picked.backend
         request = exchange.request
-        exchange.tries += 1
-        exchange.events_at_try = exchange.events_sent
-        exchange.is_under_way = True
-        exchange.tried.add(backend.instance.instance_id)
+        exchange.attempts += 1
+        exchange.events_before = exchange.events_sent
+        exchange.is_in_flight = True
+        exchange.attempted.add(backend.instance.instance_id)
         send = self.known.began(backend, self.app.now_s())
         is_probe = self.known.rests.begin(backend.instance)
         try:
@@ -308,7 +308,7 @@
                 self._runner_headers(exchange, backend),
                 request.body,
                 exchange.call.request_id,
-                lambda: self._before_send(backend, send, exchange.until_s),
+                lambda: self._before_send(backend, send, exchange.deadline_s),
             ) as reply:
                 if reply.head.status == MISDIRECTED:
                     send.take_back()
@@ -346,7 +346,7 @@
         self, exchange: Exchange, backend: backends.Backend
     ) -> list[tuple[bytes, bytes]]:
         names = self.dialect.headers
-        left_ms = max(1, int(_to_ms(exchange.until_s - self.app.now_s())))
+        left_ms = max(1, int(_to_ms(exchange.deadline_s - self.app.now_s())))
         instance_id = backend.instance.instance_id.encode('latin-1')
         added = [
             (names.deadline_ms, b'%d' % left_ms),
@@ -447,5 +447,5 @@
             f'at {backend.pace:.1f} times its usual step time'
         )
         if self._may_retry(exchange, problem):
-            exchange.next_allowed = True
+            exchange.retry_granted = True
             raise problem
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -111,16 +111,16 @@
         now_s = self._app.now_s()
         line = self._lines[exchange.service]
         picked = None
-        if exchange.tried or not len(line):
+        if exchange.attempted or not len(line):
             picked = self._choose(exchange, now_s)
         if picked is not None:
             self._unowned_s.pop(exchange.service, None)
             return picked
         self._app.metrics.incr('cold.waited')
-        if exchange.tried:
+        if exchange.attempted:
             # `GROUP_WAIT_S` bounds the wait for a first event; a stream that
             # is resumed has shown some, and may wait a whole window.
-            left_s = exchange.until_s - now_s
+            left_s = exchange.deadline_s - now_s
             until_s = now_s + min(warmup.WINDOW_S, WAIT_PART * left_s)
             return await self._wait_for_turn(exchange, None, until_s)
         place = line.join(_priority(exchange))
@@ -138,7 +138,7 @@
             now_s = self._app.now_s()
             ahead = line.ahead(place) if place else 0
             turn_s = self.known.turn_s(
-                exchange.service, exchange.tried, ahead, now_s
+                exchange.service, exchange.attempted, ahead, now_s
             )
             if turn_s != warmup.NEVER and turn_s > until_s:
                 raise self._too_cold(exchange, ahead, turn_s - now_s)
@@ -180,7 +180,7 @@
     def _free_s(self, exchange: Exchange, now_s: float) -> float:
         return self.known.free_s(
             exchange.service,
-            exchange.tried,
+            exchange.attempted,
             self._was_refused(exchange),
             now_s,
         )
@@ -200,7 +200,7 @@
         wait_s = RUNNER_WAIT_S
         if self._known(exchange):
             wait_s = exchange.begun_s + GROUP_WAIT_S - now_s
-        return min(wait_s, WAIT_PART * (exchange.until_s - now_s))
+        return min(wait_s, WAIT_PART * (exchange.deadline_s - now_s))
 
     def _may_come(self, exchange: Exchange, until_s: float) -> bool:
         """Return whether a runner may come soon, or a group open.
@@ -248,7 +248,7 @@
         """Return when the first runner that rests may get the request."""
         return self.known.rest_over_s(
             exchange.service,
-            exchange.tried,
+            exchange.attempted,
             self._was_refused(exchange),
             self._app.now_s(),
         )
@@ -280,7 +280,7 @@
         return self.known.pick(
             exchange.service,
             self._app.settings['hall'],
-            exchange.tried,
+            exchange.attempted,
             self._gateways(),
             self._rng,
             now_s,
@@ -289,7 +289,7 @@
 
     def _was_refused(self, exchange: Exchange) -> bool:
         """Return whether a rank has refused, or failed, this request."""
-        return bool(exchange.tried) and self.has_ranks(exchange.service)
+        return bool(exchange.attempted) and self.has_ranks(exchange.service)
 
     def has_ranks(self, service_name: str) -> bool:
         """Return whether a service's runners form expert-parallel groups."""
--- a/mountridge/routing/routedanswers.py
+++ b/mountridge/routing/routedanswers.py
@@ -47,7 +47,7 @@
     headers = dialects.reply_headers(reply.headers, False)
     answer = Answer(status, headers, body)
     if status >= 500:
-        exchange.failure = answer
+        exchange.error_answer = answer
         raise errors.RunnerFailed(f'the runner answered {status}')
     await send_whole(exchange, answer, now_s())
 
@@ -79,7 +79,7 @@
             if _is_next(exchange, event)
         ]
         if fresh:
-            exchange.note_events(len(fresh), now_s())
+            exchange.record_events(len(fresh), now_s())
             await responder.send(b''.join(event.data for event in fresh))
             after_events()
     if splitter.rest:
--- a/mountridge/routing/routedexchanges.py
+++ b/mountridge/routing/routedexchanges.py
@@ -36,24 +36,24 @@
         self.team: routes.Team | None = None
         self.service = ''
         self.table_version = 0
-        self.until_s = now_s
-        self.tries = 0
-        self.tried: set[str] = set()
+        self.deadline_s = now_s
+        self.attempts = 0
+        self.attempted: set[str] = set()
         #: Attempts that reached a runner other than the expected instance.
-        self.misdirected = 0
+        self.misdirected_attempts = 0
         #: Attempts that ended before anything was sent.
-        self.unsent = 0
+        self.unsent_attempts = 0
         #: Digest that identifies the request in the quarantine; empty until
         #: it is needed.
         self.digest = b''
         #: Whether the request may have crashed the runner that ran it last.
         self.is_suspect = False
         #: Events sent to the caller when the current attempt started.
-        self.events_at_try = 0
+        self.events_before = 0
         #: Whether any attempt may have run.
         self.may_have_run = False
         #: Whether an attempt was started and has not ended; it may be running.
-        self.is_under_way = False
+        self.is_in_flight = False
         self.last_event_id: int | None = None
         self.events_sent = 0
         self.first_data_s: float | None = None
@@ -63,11 +63,11 @@
         self.status = 0
         self.picked: backends.Picked | None = None
         #: Whether the next retry has already been allowed and counted.
-        self.next_allowed = False
+        self.retry_granted = False
         #: Error answer of a runner, returned where no retry follows.
-        self.failure: Answer | None = None
+        self.error_answer: Answer | None = None
 
-    def note_events(self, count: int, now_s: float) -> None:
+    def record_events(self, count: int, now_s: float) -> None:
         """Record that events are sent to the caller now."""
         if self.first_data_s is None:
             self.first_data_s = now_s
--- a/mountridge/routing/routefilters.py
+++ b/mountridge/routing/routefilters.py
@@ -92,4 +92,4 @@
     limit_ms = exchange.route.timeout_ms
     if exchange.call.deadline_ms is not None:
         limit_ms = min(limit_ms, exchange.call.deadline_ms)
-    exchange.until_s = exchange.begun_s + limit_ms / 1000
+    exchange.deadline_s = exchange.begun_s + limit_ms / 1000
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -525,7 +525,7 @@
     ),
     Mutant(
         'routes: tries that met another runner count', 'forwarding',
-        'exchange.misdirected += 1', 'pass', 'forwarding',
+        'exchange.misdirected_attempts += 1', 'pass', 'forwarding',
         'do not use up',
     ),
     Mutant(
@@ -621,7 +621,7 @@
     ),
     Mutant(
         'rests: what was not sent uses up a try', 'forwarding',
-        'exchange.unsent += is_unsent', 'pass', 'rests',
+        'exchange.unsent_attempts += is_unsent', 'pass', 'rests',
     ),
     Mutant(
         'rests: all come at once when one is over', 'reststates',
@@ -727,7 +727,7 @@
     ),
     Mutant(
         'quarantine: streams that have run on are suspects', 'crashwatch',
-        'exchange.is_suspect = exchange.events_sent == exchange.events_at_try',
+        'exchange.is_suspect = exchange.events_sent == exchange.events_before',
         'exchange.is_suspect = True', 'quarantine',
     ),
     Mutant(
@@ -1196,7 +1196,7 @@
     ),
     Mutant(
         'forwarding: what is under way is called not run', 'forwarding',
-        'if exchange.may_have_run or exchange.is_under_way:',
+        'if exchange.may_have_run or exchange.is_in_flight:',
         'if exchange.may_have_run:', 'forwarding', 'never answers',
     ),
     Mutant(
