--- a/mountridge/routing/crashwatch.py
+++ b/mountridge/routing/crashwatch.py
@@ -64,7 +64,7 @@
         if not await pool.is_refused(runner.address):
             return
         now_s = self._app.now_s()
-        digest = routefilters.find_digest(self._quarantine, exchange)
+        digest = routefilters.request_digest(self._quarantine, exchange)
         self._quarantine.crashed(digest, runner, now_s)
         # What crashes its runners does so as they begin to run it.
         exchange.is_suspect = exchange.events_sent == exchange.events_before
@@ -80,7 +80,7 @@
 
     def ended_well(self, exchange: Exchange) -> None:
         """Note that a request has ended well; that clears it everywhere."""
-        digest = routefilters.find_digest(self._quarantine, exchange)
+        digest = routefilters.request_digest(self._quarantine, exchange)
         if self._quarantine.ended_well(digest, self._app.now_s()):
             self.on_good()
 
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -109,7 +109,7 @@
             app, self.quarantine, known.rests, self.picker.has_ranks
         )
         self.filters = routefilters.chain(index, dialect.headers, self.rng)
-        self.filters.append(routefilters.hold_back(self.quarantine))
+        self.filters.append(routefilters.refuse_quarantined(self.quarantine))
 
     async def handle(
         self, request: httpserver.Request, responder: httpserver.Responder
--- a/mountridge/routing/routefilters.py
+++ b/mountridge/routing/routefilters.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The filters of a routed request: what is known of it before it is sent.
+"""The filters of a routed request, applied before a runner is selected.
 
-Each takes the exchange and the present time, and either adds to the
-exchange or refuses the request by raising.
+Each gets the exchange and the current time, and either completes the exchange
+or refuses the request by raising an error.
 """
 
 import random
@@ -14,7 +14,7 @@
 from mountridge.net import dialects
 from mountridge.routing import quarantine, routedexchanges
 
-__all__ = ['Filter', 'chain', 'find_digest', 'hold_back']
+__all__ = ['Filter', 'chain', 'refuse_quarantined', 'request_digest']
 
 Exchange = routedexchanges.Exchange
 Filter = typing.Callable[[Exchange, float], None]
@@ -25,14 +25,14 @@
     names: dialects.HeaderNames,
     rng: random.Random,
 ) -> list[Filter]:
-    """Return the filters in order, over the routes in force.
+    """Return the filters in their order; ``index`` gives the current routes.
 
-    :raises NoRoutes: (a filter) no routes are known yet.
-    :raises NoRoute: (a filter) none fits the request.
-    :raises UnknownKey: (a filter) no team holds the caller's key.
+    :raises NoRoutes: (a filter) no routes have been loaded yet.
+    :raises NoRoute: (a filter) no route matches the request.
+    :raises UnknownKey: (a filter) no team has the caller's key.
     """
 
-    def read(exchange: Exchange, now_s: float) -> None:
+    def parse_request(exchange: Exchange, now_s: float) -> None:
         call = dialects.read_call(exchange.request, names)
         exchange.call = call
         if call.last_event_id is not None:
@@ -42,29 +42,29 @@
                 exchange.last_event_id = None
 
     def find_route(exchange: Exchange, now_s: float) -> None:
-        known = index()
-        if known is None:
+        current = index()
+        if current is None:
             raise errors.NoRoutes()
-        exchange.table_version = known.table.version
+        exchange.table_version = current.table.version
         call = exchange.call
-        exchange.route = known.match(call.host, call.path)
+        exchange.route = current.match(call.host, call.path)
         if exchange.route is None:
             raise errors.NoRoute(f'{call.host}{call.path}')
         exchange.service = routes.draw_service(exchange.route, rng)
 
     def find_team(exchange: Exchange, now_s: float) -> None:
-        known = index()
-        if known.table.teams is None or exchange.route.public:
+        current = index()
+        if current.table.teams is None or exchange.route.public:
             return
-        exchange.team = known.team(exchange.call.key)
+        exchange.team = current.team(exchange.call.key)
         if exchange.team is None:
             raise errors.UnknownKey()
 
-    return [read, find_route, find_team, _bound_time]
+    return [parse_request, find_route, find_team, _set_deadline]
 
 
-def find_digest(known: quarantine.Quarantine, exchange: Exchange) -> bytes:
-    """Return what stands for a request, reckoned once."""
+def request_digest(known: quarantine.Quarantine, exchange: Exchange) -> bytes:
+    """Return the quarantine digest of a request, computed once."""
     if not exchange.digest:
         exchange.digest = known.digest(
             exchange.request, exchange.team, exchange.call.key
@@ -72,24 +72,25 @@
     return exchange.digest
 
 
-def hold_back(known: quarantine.Quarantine) -> Filter:
-    """Return the filter that refuses what crashes its runners.
+def refuse_quarantined(known: quarantine.Quarantine) -> Filter:
+    """Return the filter that refuses quarantined requests.
 
-    :raises RequestHeldBack: (the filter) it has crashed several.
+    :raises RequestHeldBack: (the filter) the request is quarantined, since it
+        has crashed several runners.
     """
 
     def check(exchange: Exchange, now_s: float) -> None:
         if not known.is_any_known():
             return
-        digest = find_digest(known, exchange)
+        digest = request_digest(known, exchange)
         if known.is_held(digest, now_s):
-            raise errors.RequestHeldBack(f'held back as {digest.hex()}')
+            raise errors.RequestHeldBack(f'quarantined as {digest.hex()}')
 
     return check
 
 
-def _bound_time(exchange: Exchange, now_s: float) -> None:
-    limit_ms = exchange.route.timeout_ms
+def _set_deadline(exchange: Exchange, now_s: float) -> None:
+    timeout_ms = exchange.route.timeout_ms
     if exchange.call.deadline_ms is not None:
-        limit_ms = min(limit_ms, exchange.call.deadline_ms)
-    exchange.deadline_s = exchange.begun_s + limit_ms / 1000
+        timeout_ms = min(timeout_ms, exchange.call.deadline_ms)
+    exchange.deadline_s = exchange.begun_s + timeout_ms / 1000
