--- a/mountridge/routing/events.py
+++ b/mountridge/routing/events.py
@@ -1,16 +1,16 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Numbered events of a streamed answer (text/event-stream)."""
+"""Numbered server-sent events of a streamed answer (text/event-stream)."""
 
 import typing
 
 __all__ = ['Event', 'Splitter']
 
-_END = b'\n\n'
+_SEPARATOR = b'\n\n'
 
 
 class Event(typing.NamedTuple):
-    """One whole event with its number, None where it has none."""
+    """A complete event, with its number or None."""
 
     data: bytes
     event_id: int | None
@@ -27,14 +27,14 @@
 
 
 class Splitter:
-    """Cuts a stream of bytes into whole events."""
+    """Splits a stream of bytes into complete events."""
 
     def __init__(self) -> None:
-        #: Bytes of an event that is not whole yet.
-        self.rest = b''
+        #: Bytes of the last, incomplete event.
+        self.remainder = b''
 
     def feed(self, data: bytes) -> list[Event]:
         """Return the events that ``data`` completes."""
-        parts = (self.rest + data).split(_END)
-        self.rest = parts.pop()
-        return [Event(part + _END, _event_id(part)) for part in parts]
+        parts = (self.remainder + data).split(_SEPARATOR)
+        self.remainder = parts.pop()
+        return [Event(part + _SEPARATOR, _event_id(part)) for part in parts]
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -226,7 +226,7 @@
                     continue
                 if exchange.error_answer is None or exchange.responder.started:
                     raise
-                await routedanswers.send_whole(
+                await routedanswers.send_answer(
                     exchange, exchange.error_answer, self.app.now_s()
                 )
                 return
@@ -385,7 +385,7 @@
             raise errors.RunnerRefused(f'the runner answered {head.status}')
         exchange.may_have_run = True
         self.known.accepted(backend, now_s)
-        await routedanswers.give(
+        await routedanswers.forward(
             exchange,
             reply,
             self.app.now_s,
