--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -261,7 +261,7 @@
     for number in range(3):
         life = (f'i-{number}', 's', '', '', '', 1, instances.READY)
         runner = instances.Instance(*life)
-        first.quarantine.crashed(digest, runner, trio.current_time())
+        first.quarantine.record_crash(digest, runner, trio.current_time())
     return first.crashes.on_crash
 
 
@@ -309,7 +309,7 @@
 @given('a rank that crashed under a request which had shown {count:d} events')
 def crashed_rank(context, count):
     known = quarantine.Quarantine()
-    known.follow([quarantines.Held(b'other', True, 2, 1, 0.0)])
+    known.update([quarantines.Held(b'other', True, 2, 1, 0.0)])
     app = types.SimpleNamespace(
         now_s=lambda: 1.0, metrics=metrics.Metrics(None)
     )
@@ -429,9 +429,9 @@
     context.known = quarantine.Quarantine()
     runner = instances.Instance('i', 's', '', '', '', 1, instances.READY)
     for number in range(count):
-        context.known.crashed(b's%d' % number, runner, 1.0)
+        context.known.record_crash(b's%d' % number, runner, 1.0)
     for number in range(good):
-        context.known.ended_well(b'g%d' % number, 2.0)
+        context.known.record_success(b'g%d' % number, 2.0)
     context.last = b's%d' % (count - 1)
 
 
@@ -440,9 +440,9 @@
 )
 def check_bounds(context, suspects, good):
     known = context.known
-    assert len(known._crashes) == suspects and len(known._good_s) == good
-    context.told = report = known.report(3.0)
-    assert len(report.crashes) == quarantine.MOST_TOLD
+    assert len(known._crashes) == suspects and len(known._success_at_s) == good
+    context.told = report = known.make_report(3.0)
+    assert len(report.crashes) == quarantine.MAX_REPORTED
     assert report.crashes[-1].digest == context.last
 
 
@@ -452,12 +452,12 @@
 def check_told_for(context, told_s, most, s):
     known = context.known
     assert len(context.told.crashes) == most
-    assert known.report(0.9 + told_s) is not None
-    assert known.report(1.1 + told_s) is None
+    assert known.make_report(0.9 + told_s) is not None
+    assert known.make_report(1.1 + told_s) is None
     runner = instances.Instance('j', 's', '', '', '', 1, instances.READY)
-    known.crashed(context.last, runner, 0.9 + s)
-    assert known.is_held(context.last, 0.9 + s)
-    assert not known.is_held(context.last, 1.1 + s)
+    known.record_crash(context.last, runner, 0.9 + s)
+    assert known.is_quarantined(context.last, 0.9 + s)
+    assert not known.is_quarantined(context.last, 1.1 + s)
 
 
 @given('an entry that answers commands and knows two requests')
--- a/mountridge/routing/crashreports.py
+++ b/mountridge/routing/crashreports.py
@@ -42,14 +42,14 @@
     async def run(self) -> None:
         """Report for ever; rest while there is nothing to report."""
         while True:
-            report = self._known.report(self._app.now_s())
+            report = self._known.make_report(self._app.now_s())
             if report is None:
                 self._seen = trio.Event()
                 await self._seen.wait()
                 continue
             await self._report(report)
             self._seen = trio.Event()
-            with trio.move_on_after(quarantine.REPORT_S):
+            with trio.move_on_after(quarantine.REPORT_INTERVAL_S):
                 await self._seen.wait()
 
     async def _report(self, report: messages.CrashReport) -> None:
@@ -59,7 +59,7 @@
             self._app.metrics.incr('quarantine.unreported')
             logger.debug('crashes unreported', reason=str(problem))
             return
-        self._known.reported(report)
+        self._known.acknowledge(report)
 
     def nudge(self) -> None:
         """Report soon: a suspect has ended well."""
@@ -68,14 +68,14 @@
     async def tell(self) -> None:
         """Tell the leader of a crash, and wait a little for its word."""
         self._seen.set()
-        report = self._known.report(self._app.now_s())
+        report = self._known.make_report(self._app.now_s())
         if report is not None:
             with trio.move_on_after(TELL_S):
                 await self._report(report)
 
     def follow(self, listed: list[quarantines.Held]) -> None:
         """Follow the view: what is or was held back."""
-        self._known.follow(listed)
+        self._known.update(listed)
         if listed:
             self._seen.set()
 
--- a/mountridge/routing/crashwatch.py
+++ b/mountridge/routing/crashwatch.py
@@ -65,7 +65,7 @@
             return
         now_s = self._app.now_s()
         digest = routefilters.request_digest(self._quarantine, exchange)
-        self._quarantine.crashed(digest, runner, now_s)
+        self._quarantine.record_crash(digest, runner, now_s)
         # What crashes its runners does so as they begin to run it.
         exchange.is_suspect = exchange.events_sent == exchange.events_before
         self._app.metrics.incr('quarantine.crashes')
@@ -74,14 +74,14 @@
             request=exchange.call.request_id,
             runner=runner.instance_id,
             digest=digest.hex(),
-            is_held=self._quarantine.is_held(digest, now_s),
+            is_held=self._quarantine.is_quarantined(digest, now_s),
         )
         await self.on_crash()
 
     def ended_well(self, exchange: Exchange) -> None:
         """Note that a request has ended well; that clears it everywhere."""
         digest = routefilters.request_digest(self._quarantine, exchange)
-        if self._quarantine.ended_well(digest, self._app.now_s()):
+        if self._quarantine.record_success(digest, self._app.now_s()):
             self.on_good()
 
     def may_try_again(self, exchange: Exchange, now_s: float) -> bool:
@@ -92,9 +92,9 @@
         none is known, most crashes have another cause. A stream that has
         shown events is no suspect, and goes on elsewhere.
         """
-        if self._quarantine.is_held(exchange.digest, now_s):
+        if self._quarantine.is_quarantined(exchange.digest, now_s):
             return False
         if not exchange.is_suspect:
             return True
         is_rank = self._has_ranks(exchange.service)
-        return not (is_rank and self._quarantine.is_any_held())
+        return not (is_rank and self._quarantine.is_any_quarantined())
--- a/mountridge/routing/quarantine.py
+++ b/mountridge/routing/quarantine.py
@@ -1,13 +1,14 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Requests that crash their runners, as one gateway knows them.
-
-A connection that breaks shows no crash: cuts, resets, planned ends and boxes
-that stand still look alike. A runner has crashed where its connection broke
-while it ran a request and its address refuses a new one right after. All that
-ran there is suspect; a good end clears, and what has crashed several lives of
-runners without one is held back. The leader counts for all gateways, and what
-is held back comes with the view; a gateway's own count holds at once.
+"""One gateway's record of requests that crash their runners.
+
+A broken connection alone is no proof of a crash: truncated answers, resets,
+planned stops and suspended boxes look alike. A runner counts as crashed if its
+connection broke while it ran a request and its address refuses a new one right
+after that. All requests that it ran are suspects; a success clears a suspect,
+and one that has crashed several incarnations of runners without a success is
+quarantined. The leader counts the crashes of all gateways, and its quarantine
+list is part of the view; a gateway's own count takes effect at once.
 """
 
 import collections
@@ -17,37 +18,37 @@
 from mountridge import messages
 from mountridge.net import httpserver
 
-__all__ = ['Quarantine', 'REPORT_S']
+__all__ = ['Quarantine', 'REPORT_INTERVAL_S']
 
-#: Between two reports of the same crashes, for leaders that are new.
-REPORT_S = 2.0
-#: A crash is told again for so long: an election and the leases after it are
-#: over by then. Told for as long as they count, the suspects of one lost hall
-#: would take the leader of 390 gateways 12,000 of them a second for 600 s.
-TELL_FOR_S = 30.0
-#: Suspects and good ends that one gateway keeps, the latest ones; 100 bytes
-#: each. A crash makes as many suspects as the runner had requests.
-MOST_SUSPECTS = 500
-MOST_GOOD = 1000
-#: Crashes in one report, of 60 bytes each.
-MOST_TOLD = 64
+#: Interval between reports of the same crashes, which a new leader needs.
+REPORT_INTERVAL_S = 2.0
+#: How long a crash is reported: longer than an election and the leases after
+#: it. Reports for as long as crashes count would overload the leader of a
+#: large deployment after the loss of a hall.
+REPORT_FOR_S = 30.0
+#: Suspects and successes that one gateway keeps, the latest ones; about 100
+#: bytes each. A crash makes a suspect of each request that the runner had.
+MAX_SUSPECTS = 500
+MAX_SUCCESSES = 1000
+#: Most crashes and most successes in one report; about 60 bytes each.
+MAX_REPORTED = 64
 
 
 class Quarantine:
-    """What one gateway has seen, and what is held back everywhere."""
+    """Crashes seen by one gateway, and the quarantine list of the leader."""
 
     def __init__(self, key: str = ''):
         self._key = key.encode()
-        self._held: dict[bytes, quarantines.Held] = {}
-        #: When lives of runners crashed, by digest.
+        self._listed: dict[bytes, quarantines.Held] = {}
+        #: Times of the crashes of runner incarnations, by digest.
         self._crashes: collections.OrderedDict[bytes, dict[tuple, float]] = (
             collections.OrderedDict()
         )
-        self._good_s: collections.OrderedDict[bytes, float] = (
+        self._success_at_s: collections.OrderedDict[bytes, float] = (
             collections.OrderedDict()
         )
-        #: Good ends of what is suspect here or held back by the view.
-        self._cleared: dict[bytes, float] = {}
+        #: Successes of suspect or quarantined requests, not yet reported.
+        self._unreported: dict[bytes, float] = {}
 
     def digest(
         self,
@@ -55,7 +56,7 @@
         team: routes.Team | None,
         key: str | None,
     ) -> bytes:
-        """Return what stands for a request of a caller."""
+        """Return the digest that identifies a request of a caller."""
         caller = f'{team.name if team else ""}/{key or ""}'
         return quarantines.digest(
             self._key,
@@ -65,99 +66,104 @@
             request.body,
         )
 
-    def follow(self, listed: typing.Iterable[quarantines.Held]) -> None:
-        """Follow the view: what is or was held back."""
-        before = self._held
-        self._held = {each.digest: each for each in listed}
+    def update(self, listed: typing.Iterable[quarantines.Held]) -> None:
+        """Apply the list of requests that are or were quarantined."""
+        before = self._listed
+        self._listed = {each.digest: each for each in listed}
         for digest, each in before.items():
-            if each.is_held and not self._holds(digest):
-                # Released: what it was held for counts no more.
+            if each.is_held and not self._is_held_by_leader(digest):
+                # Released: earlier crashes no longer count.
                 self._crashes.pop(digest, None)
-        for digest in self._held:
+        for digest in self._listed:
             was_held = digest in before and before[digest].is_held
-            if self._holds(digest) and not was_held:
-                self._tell_good(digest)
-
-    def _tell_good(self, digest: bytes) -> None:
-        """Let the leader know of a good end of what is held back anew."""
-        if digest in self._good_s:
-            self._cleared[digest] = self._good_s[digest]
-
-    def is_held(self, digest: bytes, now_s: float) -> bool:
-        """Return whether a request is sent to no runner now."""
-        return self._holds(digest) or self._is_proved(digest, now_s)
+            if self._is_held_by_leader(digest) and not was_held:
+                self._report_success(digest)
+
+    def _report_success(self, digest: bytes) -> None:
+        """Report an earlier success of a newly quarantined request."""
+        if digest in self._success_at_s:
+            self._unreported[digest] = self._success_at_s[digest]
+
+    def is_quarantined(self, digest: bytes, now_s: float) -> bool:
+        """Return whether a request may be sent to no runner now."""
+        return self._is_held_by_leader(digest) or self._is_crash_limit_reached(
+            digest, now_s
+        )
 
-    def _holds(self, digest: bytes) -> bool:
-        known = self._held.get(digest)
-        return known is not None and known.is_held
+    def _is_held_by_leader(self, digest: bytes) -> bool:
+        entry = self._listed.get(digest)
+        return entry is not None and entry.is_held
 
-    def is_any_held(self) -> bool:
-        """Return whether any request is held back by the view."""
-        return any(each.is_held for each in self._held.values())
+    def is_any_quarantined(self) -> bool:
+        """Return whether the leader has quarantined any request."""
+        return any(each.is_held for each in self._listed.values())
 
-    def is_any_known(self) -> bool:
-        """Return whether any request is suspect or was held back."""
-        return bool(self._held or self._crashes)
+    def has_entries(self) -> bool:
+        """Return whether any request is suspect or is or was quarantined."""
+        return bool(self._listed or self._crashes)
 
-    def _is_proved(self, digest: bytes, now_s: float) -> bool:
-        """Return whether the own count alone holds a request back."""
+    def _is_crash_limit_reached(self, digest: bytes, now_s: float) -> bool:
+        """Return whether this gateway alone has seen enough crashes."""
         seen = self._crashes.get(digest, {})
-        fresh = [
+        recent = [
             at_s for at_s in seen.values() if now_s - at_s < quarantines.KEPT_S
         ]
-        return len(fresh) >= quarantines.HOLD_AT
+        return len(recent) >= quarantines.HOLD_AT
 
-    def crashed(
+    def record_crash(
         self,
         digest: bytes,
         runner: instances.Instance,
         now_s: float,
     ) -> None:
-        """Note that a runner crashed while it ran a request."""
+        """Record that a runner crashed while it ran a request."""
         seen = self._crashes.pop(digest, {})
-        life = (runner.instance_id, runner.lives, runner.born_ms)
-        seen.setdefault(life, now_s)
+        incarnation = (runner.instance_id, runner.lives, runner.born_ms)
+        seen.setdefault(incarnation, now_s)
         self._crashes[digest] = seen
-        while len(self._crashes) > MOST_SUSPECTS:
+        while len(self._crashes) > MAX_SUSPECTS:
             self._crashes.popitem(last=False)
 
-    def ended_well(self, digest: bytes, now_s: float) -> bool:
-        """Note that a runner has run a request to a good end.
+    def record_success(self, digest: bytes, now_s: float) -> bool:
+        """Record that a runner has completed a request.
 
-        Returns whether the leader is to know: it was suspect or held back.
+        Returns whether to report it: the request was suspect, or it is or
+        was quarantined.
         """
-        self._good_s.pop(digest, None)
-        self._good_s[digest] = now_s
-        while len(self._good_s) > MOST_GOOD:
-            self._good_s.popitem(last=False)
-        if not self._crashes.pop(digest, None) and digest not in self._held:
+        self._success_at_s.pop(digest, None)
+        self._success_at_s[digest] = now_s
+        while len(self._success_at_s) > MAX_SUCCESSES:
+            self._success_at_s.popitem(last=False)
+        if not self._crashes.pop(digest, None) and digest not in self._listed:
             return False
-        self._cleared[digest] = now_s
+        self._unreported[digest] = now_s
         return True
 
-    def report(self, now_s: float) -> messages.CrashReport | None:
-        """Return what the leader is to know; None for nothing."""
-        self._forget(now_s)
+    def make_report(self, now_s: float) -> messages.CrashReport | None:
+        """Return the next report to the leader, None if it would be empty."""
+        self._expire(now_s)
         crashes = [
-            quarantines.Crash(digest, *life, now_s - at_s)
+            quarantines.Crash(digest, *incarnation, now_s - at_s)
             for digest, seen in self._crashes.items()
-            for life, at_s in seen.items()
-            if now_s - at_s < TELL_FOR_S
+            for incarnation, at_s in seen.items()
+            if now_s - at_s < REPORT_FOR_S
         ]
-        good = [(key, now_s - at_s) for key, at_s in self._cleared.items()]
+        good = [(key, now_s - at_s) for key, at_s in self._unreported.items()]
         if not crashes and not good:
             return None
-        return messages.CrashReport(crashes[-MOST_TOLD:], good[-MOST_TOLD:])
+        return messages.CrashReport(
+            crashes[-MAX_REPORTED:], good[-MAX_REPORTED:]
+        )
 
-    def reported(self, report: messages.CrashReport) -> None:
-        """Note that the leader has taken a report."""
+    def acknowledge(self, report: messages.CrashReport) -> None:
+        """Record that the leader has received a report."""
         for digest, _ in report.good:
-            self._cleared.pop(digest, None)
+            self._unreported.pop(digest, None)
 
-    def _forget(self, now_s: float) -> None:
+    def _expire(self, now_s: float) -> None:
         for digest, seen in list(self._crashes.items()):
-            for life, at_s in list(seen.items()):
+            for incarnation, at_s in list(seen.items()):
                 if now_s - at_s >= quarantines.KEPT_S:
-                    del seen[life]
+                    del seen[incarnation]
             if not seen:
                 del self._crashes[digest]
--- a/mountridge/routing/routefilters.py
+++ b/mountridge/routing/routefilters.py
@@ -80,10 +80,10 @@
     """
 
     def check(exchange: Exchange, now_s: float) -> None:
-        if not known.is_any_known():
+        if not known.has_entries():
             return
         digest = request_digest(known, exchange)
-        if known.is_held(digest, now_s):
+        if known.is_quarantined(digest, now_s):
             raise errors.RequestHeldBack(f'quarantined as {digest.hex()}')
 
     return check
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -699,11 +699,11 @@
     ),
     Mutant(
         'quarantine: nothing is held back', 'routefilters',
-        'if known.is_held(digest, now_s):', 'if False:', 'quarantine',
+        'if known.is_quarantined(digest, now_s):', 'if False:', 'quarantine',
     ),
     Mutant(
         'quarantine: no crash is counted', 'crashwatch',
-        'self._quarantine.crashed(digest, runner, now_s)', 'pass',
+        'self._quarantine.record_crash(digest, runner, now_s)', 'pass',
         'quarantine',
     ),
     Mutant(
@@ -717,7 +717,7 @@
     ),
     Mutant(
         'quarantine: the own count does not hold', 'quarantine',
-        'return len(fresh) >= quarantines.HOLD_AT', 'return False',
+        'return len(recent) >= quarantines.HOLD_AT', 'return False',
         'quarantine',
     ),
     Mutant(
@@ -736,7 +736,7 @@
     ),
     Mutant(
         'quarantine: suspects are told for as long as they count',
-        'quarantine', 'if now_s - at_s < TELL_FOR_S', 'if True', 'quarantine',
+        'quarantine', 'if now_s - at_s < REPORT_FOR_S', 'if True', 'quarantine',
     ),
     Mutant(
         'quarantine: a good end is not told', 'entry',
@@ -759,7 +759,7 @@
     ),
     Mutant(
         'quarantine: a good end elsewhere clears nothing', 'quarantine',
-        'self._cleared[digest] = self._good_s[digest]', 'pass', 'quarantine',
+        'self._unreported[digest] = self._success_at_s[digest]', 'pass', 'quarantine',
     ),
     Mutant(
         'quarantine: the caller is not part of a request', 'quarantines',
