--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -736,7 +736,8 @@
     ),
     Mutant(
         'quarantine: suspects are told for as long as they count',
-        'quarantine', 'if now_s - at_s < REPORT_FOR_S', 'if True', 'quarantine',
+        'quarantine', 'if now_s - at_s < REPORT_FOR_S', 'if True',
+        'quarantine',
     ),
     Mutant(
         'quarantine: a good end is not told', 'entry',
@@ -759,7 +760,8 @@
     ),
     Mutant(
         'quarantine: a good end elsewhere clears nothing', 'quarantine',
-        'self._unreported[digest] = self._success_at_s[digest]', 'pass', 'quarantine',
+        'self._unreported[digest] = self._success_at_s[digest]', 'pass',
+        'quarantine',
     ),
     Mutant(
         'quarantine: the caller is not part of a request', 'quarantines',
