--- a/mountridge/routing/crashreports.py
+++ b/mountridge/routing/crashreports.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a gateway tells the leader of crashes, and what operators order."""
+"""Crash reports to the leader, and operators' calls on the quarantine."""
 
 import typing
 
@@ -13,86 +13,86 @@
 
 __all__ = ['CrashReports']
 
-#: The leader counts crashes over all gateways, so a request whose runner has
-#: crashed waits for its word before it may meet another one: a call and a
-#: commit, some ms. Without a leader it goes on by the own count.
-TELL_S = 0.2
-#: How long the leader may take otherwise: longer than an election.
-CALL_S = 3.0
+#: The leader counts the crashes of all gateways, so a request whose runner has
+#: crashed waits for the leader's answer before a retry: a call and a commit.
+#: Past this time, only the gateway's own count is used.
+CRASH_REPORT_TIMEOUT_S = 0.2
+#: Timeout of all other calls to the leader: longer than an election.
+CALL_TIMEOUT_S = 3.0
 
-#: Calls the leader with a message and a time to answer in.
+#: Calls the leader with a message and a timeout in seconds.
 Call = typing.Callable[[typing.Any, float], typing.Awaitable[typing.Any]]
 
 
 class CrashReports:
-    """Tells the leader what one gateway has seen, again and again."""
+    """Reports crashes and successes to the leader, at intervals."""
 
     def __init__(
         self,
         app: application.Application,
-        known: quarantine.Quarantine,
+        records: quarantine.Quarantine,
         call: Call,
     ):
         self._app = app
-        self._known = known
+        self._quarantine = records
         self._call = call
-        #: Set when there may be crashes or good ends to report.
-        self._seen = trio.Event()
+        #: Set when there may be crashes or successes to report.
+        self._wake = trio.Event()
 
     async def run(self) -> None:
-        """Report for ever; rest while there is nothing to report."""
+        """Report in a loop; wait while there is nothing to report."""
         while True:
-            report = self._known.make_report(self._app.now_s())
+            report = self._quarantine.make_report(self._app.now_s())
             if report is None:
-                self._seen = trio.Event()
-                await self._seen.wait()
+                self._wake = trio.Event()
+                await self._wake.wait()
                 continue
             await self._report(report)
-            self._seen = trio.Event()
+            self._wake = trio.Event()
             with trio.move_on_after(quarantine.REPORT_INTERVAL_S):
-                await self._seen.wait()
+                await self._wake.wait()
 
     async def _report(self, report: messages.CrashReport) -> None:
         try:
-            await self._call(report, CALL_S)
+            await self._call(report, CALL_TIMEOUT_S)
         except errors.MountridgeError as problem:
             self._app.metrics.incr('quarantine.unreported')
-            logger.debug('crashes unreported', reason=str(problem))
+            logger.debug('could not report crashes', reason=str(problem))
             return
-        self._known.acknowledge(report)
+        self._quarantine.acknowledge(report)
 
     def nudge(self) -> None:
-        """Report soon: a suspect has ended well."""
-        self._seen.set()
+        """Wake the reporting loop."""
+        self._wake.set()
 
     async def tell(self) -> None:
-        """Tell the leader of a crash, and wait a little for its word."""
-        self._seen.set()
-        report = self._known.make_report(self._app.now_s())
+        """Report a crash, and wait a short time for the leader's answer."""
+        self._wake.set()
+        report = self._quarantine.make_report(self._app.now_s())
         if report is not None:
-            with trio.move_on_after(TELL_S):
+            with trio.move_on_after(CRASH_REPORT_TIMEOUT_S):
                 await self._report(report)
 
     def follow(self, listed: list[quarantines.Held]) -> None:
-        """Follow the view: what is or was held back."""
-        self._known.update(listed)
+        """Apply the list of requests that are or were quarantined."""
+        self._quarantine.update(listed)
         if listed:
-            self._seen.set()
+            self._wake.set()
 
     async def read(self) -> list[quarantines.Held]:
-        """Return the requests that are or were held back.
+        """Return the requests that are or were quarantined.
 
-        :raises NoController: it can't be told.
+        :raises NoController: no leader answered in time.
         """
-        reply = await self._call(messages.ReadQuarantine(), CALL_S)
+        reply = await self._call(messages.ReadQuarantine(), CALL_TIMEOUT_S)
         return reply.held
 
     async def release(self, digest: bytes) -> list[quarantines.Held]:
-        """Hold a request back no more; return what else is held.
+        """Release a request; return the remaining quarantine entries.
 
-        :raises NoController: it may have been carried out, or not.
-        :raises NotHeldBack: it is not known.
+        :raises NoController: the release may have been applied, or not.
+        :raises NotHeldBack: there is no such entry.
         """
-        reply = await self._call(messages.Release(digest), CALL_S)
-        logger.info('request release ordered', digest=digest.hex())
+        reply = await self._call(messages.Release(digest), CALL_TIMEOUT_S)
+        logger.info('request released from quarantine', digest=digest.hex())
         return reply.held
