--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -326,14 +326,18 @@
 
     pool = types.SimpleNamespace(is_refused=is_refused)
     trio.run(
-        context.watch.look, exchange, runner, errors.BadAnswer('cut'), pool
+        context.watch.check_attempt,
+        exchange,
+        runner,
+        errors.BadAnswer('cut'),
+        pool,
     )
     context.exchange = exchange
 
 
 @then('it {may} be tried again')
 def check_again(context, may):
-    again = context.watch.may_try_again(context.exchange, 1.0)
+    again = context.watch.may_retry(context.exchange, 1.0)
     assert again == (may == 'may'), again
 
 
--- a/mountridge/routing/crashwatch.py
+++ b/mountridge/routing/crashwatch.py
@@ -1,10 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Whether a runner has crashed under a request, and what then becomes of it.
+"""Detection of runner crashes, and retries of requests that may cause them.
 
-A connection that breaks shows no crash: the address of a runner that is gone
-refuses the next one at once, one that was reset takes it, and a box that is
-cut off or stands still is silent.
+A broken connection alone is no proof of a crash. The address of a runner whose
+process has ended refuses the next connection at once; a runner that reset one
+connection accepts the next, and a box that is partitioned or suspended does
+not answer.
 """
 
 import typing
@@ -20,53 +21,53 @@
 
 Exchange = routedexchanges.Exchange
 
-#: How a try ends whose runner may have crashed.
-BROKEN = (errors.BadAnswer, errors.OutcomeUnknown)
+#: Errors of an attempt whose runner may have crashed.
+CONNECTION_ERRORS = (errors.BadAnswer, errors.OutcomeUnknown)
 
 
-async def _nothing() -> None:
-    """Wait for nobody: no leader is told of crashes."""
+async def _no_report() -> None:
+    """Report crashes to no leader."""
 
 
 class CrashWatch:
-    """Finds crashes out, and keeps suspects from crashing more runners."""
+    """Detects crashes, and keeps suspects from crashing more runners."""
 
     def __init__(
         self,
         app: application.Application,
         known: quarantine.Quarantine,
-        words: rests.Rests,
+        backoffs: rests.Rests,
         has_ranks: typing.Callable[[str], bool],
     ):
         self._app = app
         self._quarantine = known
-        self._rests = words
+        self._backoffs = backoffs
         self._has_ranks = has_ranks
-        #: Called when a suspect has ended well.
+        #: Called when a suspect or quarantined request has succeeded.
         self.on_good: typing.Callable[[], None] = lambda: None
-        #: Called when a runner has crashed under a request.
-        self.on_crash: typing.Callable[[], typing.Awaitable[None]] = _nothing
+        #: Called when a runner has crashed while it ran a request.
+        self.on_crash: typing.Callable[[], typing.Awaitable[None]] = _no_report
 
-    async def look(
+    async def check_attempt(
         self,
         exchange: Exchange,
         runner: instances.Instance,
         problem: errors.MountridgeError,
         pool: lasthop.Pool,
     ) -> None:
-        """Make a request suspect if its runner has crashed under it."""
-        if not isinstance(problem, BROKEN):
+        """Mark a request as suspect if its runner has crashed."""
+        if not isinstance(problem, CONNECTION_ERRORS):
             return
         if runner.state != instances.READY:
-            return  # a planned end
-        if self._rests.is_leaving(runner):
+            return  # a planned stop
+        if self._backoffs.is_leaving(runner):
             return
         if not await pool.is_refused(runner.address):
             return
         now_s = self._app.now_s()
         digest = routefilters.request_digest(self._quarantine, exchange)
         self._quarantine.record_crash(digest, runner, now_s)
-        # What crashes its runners does so as they begin to run it.
+        # A request that crashes its runner does so before its first event.
         exchange.is_suspect = exchange.events_sent == exchange.events_before
         self._app.metrics.incr('quarantine.crashes')
         logger.info(
@@ -78,19 +79,19 @@
         )
         await self.on_crash()
 
-    def ended_well(self, exchange: Exchange) -> None:
-        """Note that a request has ended well; that clears it everywhere."""
+    def record_success(self, exchange: Exchange) -> None:
+        """Record that a request has succeeded, which clears it everywhere."""
         digest = routefilters.request_digest(self._quarantine, exchange)
         if self._quarantine.record_success(digest, self._app.now_s()):
             self.on_good()
 
-    def may_try_again(self, exchange: Exchange, now_s: float) -> bool:
-        """Return whether a request whose runner crashed may meet another.
+    def may_retry(self, exchange: Exchange, now_s: float) -> bool:
+        """Return whether a request may be sent to another runner.
 
-        A rank that crashes stops its whole group: where requests that crash
-        runners are about, a suspect is then not worth a second try. Where
-        none is known, most crashes have another cause. A stream that has
-        shown events is no suspect, and goes on elsewhere.
+        A crashed rank stops its whole group, so a suspect is not retried on
+        one while any request is quarantined. While none is, crashes mostly
+        have other causes. A stream that has returned events is no suspect,
+        and is resumed on another runner.
         """
         if self._quarantine.is_quarantined(exchange.digest, now_s):
             return False
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -211,7 +211,7 @@
     async def _run_attempts(self, exchange: Exchange) -> None:
         while True:
             picked = await self.picker.pick(exchange)
-            if not self.crashes.may_try_again(exchange, self.app.now_s()):
+            if not self.crashes.may_retry(exchange, self.app.now_s()):
                 # It was quarantined while it waited for a runner.
                 raise errors.OutcomeUnknown('its runner crashed')
             try:
@@ -219,7 +219,7 @@
                 return
             except errors.MountridgeError as problem:
                 self._record_failure(exchange, picked, problem)
-                await self.crashes.look(
+                await self.crashes.check_attempt(
                     exchange, picked.backend.instance, problem, self.pool
                 )
                 if self._may_retry(exchange, problem):
@@ -276,7 +276,7 @@
             return False
         if is_unsent:
             return True
-        if not self.crashes.may_try_again(exchange, now_s):
+        if not self.crashes.may_retry(exchange, now_s):
             return False
         if problem.outcome != errors.NOT_RUN and not route.repeatable:
             return False
@@ -392,7 +392,7 @@
             lambda: self._leave_slow_runner(exchange, backend),
         )
         backend.succeeded()
-        self.crashes.ended_well(exchange)
+        self.crashes.record_success(exchange)
 
     def _apply_announcements(
         self,
