--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -88,11 +88,11 @@
             lambda gap_s: self.forwarder.cancel_overdue(app.now_s())
         )
         self.hall_orders = hallorders.HallOrders(app, self.leader.call)
-        self.crash_reports = crashreports.CrashReports(
+        self.crash_reporter = crashreports.CrashReporter(
             app, self.forwarder.quarantine, self.leader.call
         )
-        self.forwarder.crashes.on_crash = self.crash_reports.tell
-        self.forwarder.crashes.on_good = self.crash_reports.nudge
+        self.forwarder.crashes.on_crash = self.crash_reporter.report_now
+        self.forwarder.crashes.on_success = self.crash_reporter.wake
         self.draining = False
         self._drain_began_s = 0.0
         self.front = self.make_server(self.forwarder.handle)
@@ -214,7 +214,7 @@
     def _follow_quarantine(self) -> None:
         packed = self.held.view.under(views.QUARANTINE_PREFIX).values()
         listed = [views.unpack_held(value) for value in packed]
-        self.crash_reports.follow(listed)
+        self.crash_reporter.update(listed)
 
     def _follow_routes(self) -> None:
         held = views.routes_in(self.held.view)
@@ -323,7 +323,7 @@
 
         :raises NoController: it can't be told.
         """
-        return await self.crash_reports.read()
+        return await self.crash_reporter.read()
 
     async def release(self, digest: bytes) -> list[quarantines.Held]:
         """Hold a request back no more; return what else is held.
@@ -331,7 +331,7 @@
         :raises NoController: it may have been carried out, or not.
         :raises NotHeldBack: it is not known.
         """
-        return await self.crash_reports.release(digest)
+        return await self.crash_reporter.release(digest)
 
     async def set_hall(self, name: str, is_out: bool) -> halls.HallState:
         """Take a hall out of service, or put it back.
@@ -449,7 +449,7 @@
     for kind in FOR_LEADER:
         app.handlers[kind] = entry.refer
     app.handlers[messages.Controllers] = entry.learn
-    app.tasks += [entry.hold_lease, entry.crash_reports.run]
+    app.tasks += [entry.hold_lease, entry.crash_reporter.run]
     app.dumpers['entry'] = entry.dump
     app.drain.append(entry.begin_drain)
     if app.settings['controller']['data']:
--- a/mountridge/routing/crashreports.py
+++ b/mountridge/routing/crashreports.py
@@ -11,7 +11,7 @@
 from mountridge.logs import logger
 from mountridge.routing import quarantine
 
-__all__ = ['CrashReports']
+__all__ = ['CrashReporter']
 
 #: The leader counts the crashes of all gateways, so a request whose runner has
 #: crashed waits for the leader's answer before a retry: a call and a commit.
@@ -24,7 +24,7 @@
 Call = typing.Callable[[typing.Any, float], typing.Awaitable[typing.Any]]
 
 
-class CrashReports:
+class CrashReporter:
     """Reports crashes and successes to the leader, at intervals."""
 
     def __init__(
@@ -61,11 +61,11 @@
             return
         self._quarantine.acknowledge(report)
 
-    def nudge(self) -> None:
+    def wake(self) -> None:
         """Wake the reporting loop."""
         self._wake.set()
 
-    async def tell(self) -> None:
+    async def report_now(self) -> None:
         """Report a crash, and wait a short time for the leader's answer."""
         self._wake.set()
         report = self._quarantine.make_report(self._app.now_s())
@@ -73,7 +73,7 @@
             with trio.move_on_after(CRASH_REPORT_TIMEOUT_S):
                 await self._report(report)
 
-    def follow(self, listed: list[quarantines.Held]) -> None:
+    def update(self, listed: list[quarantines.Held]) -> None:
         """Apply the list of requests that are or were quarantined."""
         self._quarantine.update(listed)
         if listed:
--- a/mountridge/routing/crashwatch.py
+++ b/mountridge/routing/crashwatch.py
@@ -44,7 +44,7 @@
         self._backoffs = backoffs
         self._has_ranks = has_ranks
         #: Called when a suspect or quarantined request has succeeded.
-        self.on_good: typing.Callable[[], None] = lambda: None
+        self.on_success: typing.Callable[[], None] = lambda: None
         #: Called when a runner has crashed while it ran a request.
         self.on_crash: typing.Callable[[], typing.Awaitable[None]] = _no_report
 
@@ -83,7 +83,7 @@
         """Record that a request has succeeded, which clears it everywhere."""
         digest = routefilters.request_digest(self._quarantine, exchange)
         if self._quarantine.record_success(digest, self._app.now_s()):
-            self.on_good()
+            self.on_success()
 
     def may_retry(self, exchange: Exchange, now_s: float) -> bool:
         """Return whether a request may be sent to another runner.
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -741,7 +741,7 @@
     ),
     Mutant(
         'quarantine: a good end is not told', 'entry',
-        'self.forwarder.crashes.on_good = self.crash_reports.nudge', 'pass',
+        'self.forwarder.crashes.on_success = self.crash_reporter.wake', 'pass',
         'quarantine',
     ),
     Mutant(
