--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -546,7 +546,7 @@
 @when('the hall {name} is to be taken out and the settings name {known}')
 def take_out(context, name, known):
     if known != 'none':
-        context.orders.follow_settings({'halls': known.split(', ')})
+        context.orders.update_settings({'halls': known.split(', ')})
     _set(context, name)
 
 
@@ -560,10 +560,10 @@
 
 @when('the settings name {known}, and after they are read again {more} too')
 def reread(context, known, more):
-    context.orders.follow_settings({'halls': [known]})
+    context.orders.update_settings({'halls': [known]})
     _set(context, more)
     assert context.problem.code == errors.UnknownHall.code
-    context.orders.follow_settings({'halls': [known, more]})
+    context.orders.update_settings({'halls': [known, more]})
     context.name = more
 
 
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -346,7 +346,7 @@
     def follow_settings(self, settings: dict) -> None:
         """Take what newer settings may change in a running process."""
         self.leader.follow_seeds(settings)
-        self.hall_orders.follow_settings(settings)
+        self.hall_orders.update_settings(settings)
 
     # Life.
 
--- a/mountridge/routing/hallorders.py
+++ b/mountridge/routing/hallorders.py
@@ -51,7 +51,7 @@
         self._call = call
         self._halls: list[str] = app.settings['halls']
 
-    def follow_settings(self, settings: dict) -> None:
+    def update_settings(self, settings: dict) -> None:
         """Apply the list of halls of new settings."""
         self._halls = settings['halls']
 
