--- a/mountridge/routing/entryapi.py
+++ b/mountridge/routing/entryapi.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The calls that an entry process answers besides callers' requests.
+"""The HTTP API of an entry process, besides callers' requests.
 
-Who asks are callers (where to send requests), health checks, runners
-(heartbeats, leaves) and operators (routes documents, halls out of service).
-Another spelling of the same calls is another `Spelling`.
+Its clients are callers (addresses of gateways), health checks, runners
+(heartbeats, leaves) and operators (routes documents, halls, quarantine).
+A `Spelling` holds the paths and body formats of one variant of the API.
 """
 
 import contextlib
@@ -20,64 +20,64 @@
 
 
 class Entry(typing.Protocol):
-    """What the calls need of the entry process."""
+    """Operations of the entry process that the API calls."""
 
     settings: dict
 
     def addresses(self) -> list[str]:
-        """Return where callers may send requests."""
+        """Return the addresses of the gateways that callers may use."""
 
     def is_ready(self) -> bool:
-        """Return whether requests can be served here."""
+        """Return whether this process can serve requests."""
 
     async def put_routes(self, source: bytes) -> int:
-        """Offer a routes document; return the version then held."""
+        """Submit a routes document; return the version then stored."""
 
     async def read_routes(self) -> bytes | None:
         """Return the newest routes document."""
 
     async def heartbeat(self, heartbeat: messages.Heartbeat) -> None:
-        """Take a runner's heartbeat to the leader."""
+        """Forward a runner's heartbeat to the leader."""
 
     async def leave(self, instance_id: str, born_ms: int) -> None:
-        """Take out a runner; ``born_ms`` is 0 where it was not told."""
+        """Deregister a runner; ``born_ms`` is 0 if it was not decoded."""
 
     def malformed(self, raw_id: bytes, problem: errors.BadHeartbeat) -> None:
-        """Count and log a word of a runner that can't be read."""
+        """Count and log a malformed message of a runner."""
 
     async def read_halls(self) -> list[halls.HallState]:
         """Return the halls that were ever out of service."""
 
     async def set_hall(self, name: str, is_out: bool) -> halls.HallState:
-        """Take a hall out of service, or put it back."""
+        """Take a hall out of service, or restore it."""
 
     async def read_quarantine(self) -> list[quarantines.Held]:
-        """Return the requests that are or were held back."""
+        """Return the requests that are or were quarantined."""
 
     async def release(self, digest: bytes) -> list[quarantines.Held]:
-        """Hold a request back no more."""
+        """Release a request; return the remaining quarantine entries."""
 
 
 class Spelling(typing.NamedTuple):
-    """Paths of the calls, and how their bodies are read and written."""
+    """Paths of the calls, and functions to decode and encode bodies."""
 
     put_routes: bytes
     get_routes: bytes
-    instances: bytes  # prefix; the id and one of the next two follow
+    instances: bytes  # prefix; followed by the id and one of the next two
     heartbeat: bytes
     leave: bytes
     read_heartbeat: typing.Callable[[str, bytes], messages.Heartbeat]
-    read_leave: typing.Callable[[bytes], int]  # gives the start, or 0
+    read_leave: typing.Callable[[bytes], int]  # returns born_ms, or 0
     write_addresses: typing.Callable[[list[str], float], dict]
-    halls: bytes  # lists them; prefix of a name and one of the next two
+    halls: bytes  # lists halls; prefix of a name and one of the next two
     drain_hall: bytes
     restore_hall: bytes
-    quarantine: bytes = b'/v1/quarantine/'  # lists it; prefix of a digest
-    release: bytes = b'/release'  # and behind that
+    quarantine: bytes = b'/v1/quarantine/'  # lists entries; prefix of a digest
+    release: bytes = b'/release'  # after a digest
 
 
 class HeartbeatBody(msgspec.Struct):
-    """A heartbeat in the project's own form."""
+    """Body of a heartbeat in the native format."""
 
     service: str
     address: str
@@ -87,11 +87,11 @@
     state: str
     software: str = ''
     born_ms: int = 0
-    cold_ms: float = 0.0  # how much longer it is cold
+    cold_ms: float = 0.0  # remaining time until it is warm
 
 
 class LeaveBody(msgspec.Struct):
-    """What a runner may say when it leaves."""
+    """Body of a leave call in the native format."""
 
     born_ms: int = 0
 
@@ -101,36 +101,36 @@
 
 
 def read_heartbeat(instance_id: str, body: bytes) -> messages.Heartbeat:
-    """Return the heartbeat in a body of the project's own form.
+    """Return the heartbeat in a body of the native format.
 
-    :raises BadHeartbeat: it can't be read.
+    :raises BadHeartbeat: the body is malformed.
     """
-    given = instances.read(_HEARTBEAT, body)
+    decoded = instances.read(_HEARTBEAT, body)
     instance = instances.Instance(
         instance_id,
-        given.service,
-        given.address,
-        given.hall,
-        given.software,
-        given.slots,
-        given.state,
-        given.born_ms,
+        decoded.service,
+        decoded.address,
+        decoded.hall,
+        decoded.software,
+        decoded.slots,
+        decoded.state,
+        decoded.born_ms,
     )
-    checked = instances.check(instance, given.seq, given.cold_ms)
-    return messages.Heartbeat(checked, given.seq)
+    checked = instances.check(instance, decoded.seq, decoded.cold_ms)
+    return messages.Heartbeat(checked, decoded.seq)
 
 
 def read_leave(body: bytes) -> int:
-    """Return the start that a leave tells, 0 where it has no body.
+    """Return the ``born_ms`` of a leave call, 0 if it has no body.
 
-    :raises BadHeartbeat: it can't be read.
+    :raises BadHeartbeat: the body is malformed.
     """
-    given = instances.read(_LEAVE, body) if body else LeaveBody()
-    return instances.check_start(given.born_ms)
+    decoded = instances.read(_LEAVE, body) if body else LeaveBody()
+    return instances.check_start(decoded.born_ms)
 
 
 def write_addresses(addresses: list[str], ttl_s: float) -> dict:
-    """Return the body that tells callers where to send requests."""
+    """Return the body with the addresses for callers' requests."""
     return {'addresses': addresses, 'ttl_s': ttl_s}
 
 
@@ -150,15 +150,15 @@
 
 
 class Handlers(typing.NamedTuple):
-    """Handlers for the addresses of the settings but the callers'."""
+    """Handlers of the listening addresses other than the callers'."""
 
     readiness: httpserver.Handler
     control: httpserver.Handler
     directory: httpserver.Handler
 
 
-def handlers(entry: Entry, spelling: Spelling) -> Handlers:
-    """Return the handlers of all calls that ``entry`` answers."""
+def handlers(entry: Entry, names: Spelling) -> Handlers:
+    """Return the handlers of all API calls of ``entry``."""
 
     async def readiness(request, responder) -> None:
         status = 200 if entry.is_ready() else 503
@@ -167,13 +167,13 @@
     async def directory(request, responder) -> None:
         addresses = entry.addresses()
         ttl_s = entry.settings['address_ttl_s']
-        body = spelling.write_addresses(addresses, ttl_s)
+        body = names.write_addresses(addresses, ttl_s)
         status = 200 if addresses else 503
         await httpserver.json_reply(responder, status, body)
 
     async def control(request, responder) -> None:
         try:
-            body = await _control(entry, spelling, request)
+            body = await _control(entry, names, request)
         except errors.MountridgeError as problem:
             await httpserver.refuse(responder, problem)
             return
@@ -183,42 +183,42 @@
 
 
 async def _control(
-    entry: Entry, spelling: Spelling, request: httpserver.Request
+    entry: Entry, names: Spelling, request: httpserver.Request
 ) -> dict | bytes:
-    """Carry out a control call and return the body of its answer."""
+    """Execute a control call and return the body of its answer."""
     path = request.path
-    if path == spelling.put_routes:
+    if path == names.put_routes:
         return {'version': await entry.put_routes(request.body)}
-    if path == spelling.get_routes:
+    if path == names.get_routes:
         source = await entry.read_routes()
         if source is None:
             raise errors.NoRoutes()
         return source
-    prefix = spelling.instances
-    for ending, take in (
-        (spelling.heartbeat, _take_heartbeat),
-        (spelling.leave, _take_leave),
+    prefix = names.instances
+    for ending, receive in (
+        (names.heartbeat, _receive_heartbeat),
+        (names.leave, _receive_leave),
     ):
         if path.startswith(prefix) and path.endswith(ending):
             raw_id = path[len(prefix) : -len(ending)]
-            await take(entry, spelling, raw_id, request.body)
+            await receive(entry, names, raw_id, request.body)
             return {}
-    if path.startswith(spelling.halls):
-        return await _hall_call(entry, spelling, path)
-    if path.startswith(spelling.quarantine):
-        return await _quarantine_call(entry, spelling, path)
+    if path.startswith(names.halls):
+        return await _hall_call(entry, names, path)
+    if path.startswith(names.quarantine):
+        return await _quarantine_call(entry, names, path)
     raise errors.NoRoute(path.decode('latin-1'))
 
 
-async def _hall_call(entry: Entry, spelling: Spelling, path: bytes) -> dict:
-    """Carry out a call on halls and return the body of its answer."""
-    rest = path[len(spelling.halls) :]
+async def _hall_call(entry: Entry, names: Spelling, path: bytes) -> dict:
+    """Execute a call on halls and return the body of its answer."""
+    rest = path[len(names.halls) :]
     if not rest:
         listed = await entry.read_halls()
         return {'halls': [state._asdict() for state in listed]}
     for suffix, is_out in (
-        (spelling.drain_hall, True),
-        (spelling.restore_hall, False),
+        (names.drain_hall, True),
+        (names.restore_hall, False),
     ):
         if rest.endswith(suffix):
             name = rest[: -len(suffix)].decode('latin-1')
@@ -227,43 +227,43 @@
     raise errors.NoRoute(path.decode('latin-1'))
 
 
-async def _quarantine_call(
-    entry: Entry, spelling: Spelling, path: bytes
-) -> dict:
-    """Carry out a call on requests that are held back."""
-    rest = path[len(spelling.quarantine) :]
+async def _quarantine_call(entry: Entry, names: Spelling, path: bytes) -> dict:
+    """Execute a call on the quarantine and return the body of its answer."""
+    rest = path[len(names.quarantine) :]
     if not rest:
         listed = await entry.read_quarantine()
-    elif rest.endswith(spelling.release):
-        text = rest[: -len(spelling.release)].decode('latin-1')
+    elif rest.endswith(names.release):
+        text = rest[: -len(names.release)].decode('latin-1')
         listed = await entry.release(quarantines.read_digest(text))
     else:
         raise errors.NoRoute(path.decode('latin-1'))
-    told = [each._asdict() | {'digest': each.digest.hex()} for each in listed]
-    return {'quarantine': told}
+    entries = [
+        each._asdict() | {'digest': each.digest.hex()} for each in listed
+    ]
+    return {'quarantine': entries}
 
 
-async def _take_heartbeat(
-    entry: Entry, spelling: Spelling, raw_id: bytes, body: bytes
+async def _receive_heartbeat(
+    entry: Entry, names: Spelling, raw_id: bytes, body: bytes
 ) -> None:
-    with _malformed_told(entry, raw_id):
+    with _counting_malformed(entry, raw_id):
         instance_id = instances.read_id(raw_id)
-        heartbeat = spelling.read_heartbeat(instance_id, body)
+        heartbeat = names.read_heartbeat(instance_id, body)
     await entry.heartbeat(heartbeat)
 
 
-async def _take_leave(
-    entry: Entry, spelling: Spelling, raw_id: bytes, body: bytes
+async def _receive_leave(
+    entry: Entry, names: Spelling, raw_id: bytes, body: bytes
 ) -> None:
-    with _malformed_told(entry, raw_id):
+    with _counting_malformed(entry, raw_id):
         instance_id = instances.read_id(raw_id)
-        born_ms = spelling.read_leave(body)
+        born_ms = names.read_leave(body)
     await entry.leave(instance_id, born_ms)
 
 
 @contextlib.contextmanager
-def _malformed_told(entry: Entry, raw_id: bytes) -> typing.Iterator[None]:
-    """Let the entry count what can't be read."""
+def _counting_malformed(entry: Entry, raw_id: bytes) -> typing.Iterator[None]:
+    """Report malformed messages to the entry, and raise the error again."""
     try:
         yield
     except errors.BadHeartbeat as problem:
