--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -494,7 +494,7 @@
     settings: dict,
     path: str,
     dialect: dialects.Dialect = dialects.NATIVE,
-    spelling: entryapi.Spelling = entryapi.NATIVE,
+    spelling: entryapi.WireNames = entryapi.NATIVE,
     connect: Connect = engines.connect_to,
     early: socket.socket | None = None,
 ) -> None:
--- a/mountridge/routing/entryapi.py
+++ b/mountridge/routing/entryapi.py
@@ -4,7 +4,7 @@
 
 Its clients are callers (addresses of gateways), health checks, runners
 (heartbeats, leaves) and operators (routes documents, halls, quarantine).
-A `Spelling` holds the paths and body formats of one variant of the API.
+A `WireNames` holds the paths and body formats of one variant of the API.
 """
 
 import contextlib
@@ -16,7 +16,7 @@
 from mountridge import errors, messages
 from mountridge.net import httpserver
 
-__all__ = ['Handlers', 'NATIVE', 'Spelling', 'handlers']
+__all__ = ['Handlers', 'NATIVE', 'WireNames', 'handlers']
 
 
 class Entry(typing.Protocol):
@@ -58,7 +58,7 @@
         """Release a request; return the remaining quarantine entries."""
 
 
-class Spelling(typing.NamedTuple):
+class WireNames(typing.NamedTuple):
     """Paths of the calls, and functions to decode and encode bodies."""
 
     put_routes: bytes
@@ -134,7 +134,7 @@
     return {'addresses': addresses, 'ttl_s': ttl_s}
 
 
-NATIVE = Spelling(
+NATIVE = WireNames(
     b'/v1/routes/put',
     b'/v1/routes/get',
     b'/v1/instances/',
@@ -157,7 +157,7 @@
     directory: httpserver.Handler
 
 
-def handlers(entry: Entry, names: Spelling) -> Handlers:
+def handlers(entry: Entry, names: WireNames) -> Handlers:
     """Return the handlers of all API calls of ``entry``."""
 
     async def readiness(request, responder) -> None:
@@ -183,7 +183,7 @@
 
 
 async def _control(
-    entry: Entry, names: Spelling, request: httpserver.Request
+    entry: Entry, names: WireNames, request: httpserver.Request
 ) -> dict | bytes:
     """Execute a control call and return the body of its answer."""
     path = request.path
@@ -210,7 +210,7 @@
     raise errors.NoRoute(path.decode('latin-1'))
 
 
-async def _hall_call(entry: Entry, names: Spelling, path: bytes) -> dict:
+async def _hall_call(entry: Entry, names: WireNames, path: bytes) -> dict:
     """Execute a call on halls and return the body of its answer."""
     rest = path[len(names.halls) :]
     if not rest:
@@ -227,7 +227,9 @@
     raise errors.NoRoute(path.decode('latin-1'))
 
 
-async def _quarantine_call(entry: Entry, names: Spelling, path: bytes) -> dict:
+async def _quarantine_call(
+    entry: Entry, names: WireNames, path: bytes
+) -> dict:
     """Execute a call on the quarantine and return the body of its answer."""
     rest = path[len(names.quarantine) :]
     if not rest:
@@ -244,7 +246,7 @@
 
 
 async def _receive_heartbeat(
-    entry: Entry, names: Spelling, raw_id: bytes, body: bytes
+    entry: Entry, names: WireNames, raw_id: bytes, body: bytes
 ) -> None:
     with _counting_malformed(entry, raw_id):
         instance_id = instances.read_id(raw_id)
@@ -253,7 +255,7 @@
 
 
 async def _receive_leave(
-    entry: Entry, names: Spelling, raw_id: bytes, body: bytes
+    entry: Entry, names: WireNames, raw_id: bytes, body: bytes
 ) -> None:
     with _counting_malformed(entry, raw_id):
         instance_id = instances.read_id(raw_id)
