--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -472,7 +472,7 @@
 class _Entry:
     """An entry whose leader is a registry."""
 
-    malformed = entry.Entry.malformed
+    record_malformed = entry.Entry.record_malformed
 
     def __init__(self, world):
         self.world = world
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -301,7 +301,9 @@
         leave = messages.Leave(instance_id, born_ms, lives)
         await self.leader.call(leave, HEARTBEAT_S)
 
-    def malformed(self, raw_id: bytes, problem: errors.BadHeartbeat) -> None:
+    def record_malformed(
+        self, raw_id: bytes, problem: errors.BadHeartbeat
+    ) -> None:
         """Count and log a word of a runner that can't be read."""
         self.app.metrics.incr(f'runner.malformed.{problem.cause}')
         logger.info(
--- a/mountridge/routing/entryapi.py
+++ b/mountridge/routing/entryapi.py
@@ -42,7 +42,9 @@
     async def leave(self, instance_id: str, born_ms: int) -> None:
         """Deregister a runner; ``born_ms`` is 0 if it was not decoded."""
 
-    def malformed(self, raw_id: bytes, problem: errors.BadHeartbeat) -> None:
+    def record_malformed(
+        self, raw_id: bytes, problem: errors.BadHeartbeat
+    ) -> None:
         """Count and log a malformed message of a runner."""
 
     async def read_halls(self) -> list[halls.HallState]:
@@ -269,5 +271,5 @@
     try:
         yield
     except errors.BadHeartbeat as problem:
-        entry.malformed(raw_id, problem)
+        entry.record_malformed(raw_id, problem)
         raise
