--- a/mountridge/net/lasthop.py
+++ b/mountridge/net/lasthop.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The last hop: HTTP/1.1 to runners over kept connections, with h11.
+"""The last hop: HTTP/1.1 to runners over persistent connections, with h11.
 
-Runners may answer late, twice, early, without a length, or break off. An
-answer is tied to its request by the id that it carries back; a connection
-that brought anything unexpected is not used again.
+Runners may answer late, twice, early or without a length, or truncate an
+answer. An answer is matched to its request by the request id that it echoes; a
+connection that delivered anything unexpected is not reused.
 """
 
 import contextlib
@@ -23,22 +23,24 @@
 READ_BYTES = 65536
 #: Idle connections kept to one runner by one gateway.
 MAX_IDLE = 8
-#: A runner on another box of the same region accepts within milliseconds;
-#: past this it is cut off or overloaded, and another one is quicker.
+#: Past this time to connect, a runner is unreachable or overloaded, and an
+#: attempt at another one is faster.
 CONNECT_S = 0.3
-#: Runners close idle connections after a time that they may not tell.
-IDLE_S = 4.0
-#: Where one tells it, in whole seconds, its connection is not used in this
-#: last part of it: a request that crosses its close may or may not have run,
-#: so that one that may run once is lost. Above the way to a runner and back.
-CLOSE_S = 0.5
-#: Bytes that are not acknowledged for this long end the connection, so that
-#: a box that is gone without a word is noticed.
+#: Connections idle for longer are not reused; runners may close idle ones
+#: without having announced a timeout.
+IDLE_TIMEOUT_S = 4.0
+#: A connection is not used this shortly before the idle timeout that its
+#: runner announced, in whole seconds: the outcome of a request that crosses
+#: the close is unknown, so it can't be retried unless it is repeatable. Longer
+#: than a round trip to a runner.
+CLOSE_MARGIN_S = 0.5
+#: A connection fails after this time without an acknowledgement of sent data,
+#: so that the loss of a box is detected.
 USER_TIMEOUT_MS = 2500
-#: Addresses whose former runner is remembered: a whole fleet, a few times.
-MOST_FORGOTTEN = 2000
-#: Answers to earlier requests that may stand before the one awaited.
-MAX_SURPLUS = 4
+#: Addresses whose eviction times are kept: several times a whole fleet.
+MAX_EVICTED = 2000
+#: Most answers read for one request, including those to earlier requests.
+MAX_ANSWERS = 4
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -51,17 +53,17 @@
         self.opened_s = opened_s
         self.http = h11.Connection(h11.CLIENT)
         self.idle_since_s = 0.0
-        #: For how long it may rest, as far as the runner has told.
-        self.idle_s = IDLE_S
+        #: For how long it may stay idle.
+        self.idle_s = IDLE_TIMEOUT_S
 
-    def heard(self, headers: Headers) -> None:
-        """Take what an answer tells of its connection."""
-        told_s = dialects.kept_s(headers)
-        if told_s is not None:
-            self.idle_s = min(IDLE_S, told_s - CLOSE_S)
+    def update_idle_timeout(self, headers: Headers) -> None:
+        """Apply the idle timeout that an answer announces."""
+        announced_s = dialects.kept_s(headers)
+        if announced_s is not None:
+            self.idle_s = min(IDLE_TIMEOUT_S, announced_s - CLOSE_MARGIN_S)
 
     def is_stale(self, now_s: float) -> bool:
-        """Return whether it was closed, rested too long, or has bytes."""
+        """Return whether it is closed, idle for too long, or has input."""
         if now_s - self.idle_since_s > self.idle_s:
             return True
         try:
@@ -73,15 +75,15 @@
         return True
 
     def reset_on_close(self) -> None:
-        """Let the close drop what the runner has not read yet.
+        """Reset the connection on close, dropping data not read yet.
 
-        A runner whose box stands still would else begin, seconds later, on
-        a request whose caller has left.
+        Otherwise a runner on a suspended box might later start a request
+        whose caller has already disconnected.
         """
         linger = struct.pack('ii', 1, 0)
         self.stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
-    async def event(self) -> typing.Any:
+    async def next_event(self) -> typing.Any:
         """Return the next event of the answer."""
         while True:
             event = self.http.next_event()
@@ -91,7 +93,7 @@
 
 
 class Reply:
-    """A runner's answer: its head, and its body in pieces."""
+    """A runner's answer: its head, and its body in chunks."""
 
     def __init__(
         self, connection: _Connection, head: dialects.ReplyHead, headers
@@ -101,34 +103,36 @@
         self.headers: Headers = headers
 
     async def pieces(self) -> typing.AsyncIterator[bytes]:
-        """Yield the body; returns only at its explicit end.
+        """Yield the body; return only at its explicit end.
 
-        :raises BadAnswer: it was cut before its end.
+        :raises BadAnswer: the body was truncated.
         """
         try:
             while True:
-                event = await self._connection.event()
+                event = await self._connection.next_event()
                 if isinstance(event, h11.Data):
                     yield bytes(event.data)
                 elif isinstance(event, h11.EndOfMessage):
                     return
                 else:
-                    raise errors.BadAnswer('the connection ended')
+                    raise errors.BadAnswer(
+                        'the connection was closed within the answer'
+                    )
         except (h11.RemoteProtocolError, OSError) as problem:
             raise errors.BadAnswer(str(problem))
         except trio.BrokenResourceError as problem:
             raise errors.BadAnswer(str(problem))
 
     async def whole(self) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
-        :raises BadAnswer: it was cut before its end.
+        :raises BadAnswer: the body was truncated.
         """
         return b''.join([piece async for piece in self.pieces()])
 
 
 class Pool:
-    """Connections to all runners, by address."""
+    """A pool of connections to runners, by address."""
 
     def __init__(
         self,
@@ -140,9 +144,9 @@
         self._connect_s = connect_s
         self._now_s = now_s
         self._idle: dict[str, list[_Connection]] = {}
-        #: When a new runner was told of at an address: connections that are
-        #: older lead to the former one, and are not kept.
-        self._forgotten_s: dict[str, float] = {}
+        #: When an address was evicted, since its runner had ended or been
+        #: replaced: connections opened before that are not reused.
+        self._evicted_s: dict[str, float] = {}
 
     async def _connect(self, address: str) -> _Connection:
         idle = self._idle.get(address, [])
@@ -157,7 +161,7 @@
             with trio.fail_after(self._connect_s):
                 stream = await trio.open_tcp_stream(host, int(port))
         except (OSError, trio.TooSlowError) as problem:
-            raise errors.NoRunner(f'{address} can not be reached: {problem}')
+            raise errors.NoRunner(f'could not connect to {address}: {problem}')
         stream.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
         )
@@ -174,44 +178,45 @@
         request_id: str | None,
         on_send: typing.Callable[[], None] = lambda: None,
     ) -> typing.AsyncIterator[Reply]:
-        """Send a request and give its answer once the head has come.
+        """Send a request and yield its answer once the head is received.
 
-        Answers that carry another id than ``request_id`` are passed over;
-        None takes any. ``on_send`` is called when its first bytes leave.
+        Answers with an id other than ``request_id`` are skipped; if it is
+        None, the first answer is used. ``on_send`` is called just before the
+        request is sent; if it raises, nothing is sent.
 
         :raises NoRunner: no connection could be made; nothing was sent.
         :raises OutcomeUnknown: the connection broke before the answer.
         """
         connection = await self._connect(address)
-        asked = h11.Request(method=method, target=target, headers=headers)
+        request = h11.Request(method=method, target=target, headers=headers)
         try:
             on_send()
-            await self._send(connection, asked, body)
-            yield await self._reply(connection, asked, body, request_id)
+            await self._send(connection, request, body)
+            yield await self._read_reply(connection, request, body, request_id)
         finally:
-            await self._give_back(address, connection)
+            await self._release(address, connection)
 
     async def _send(
-        self, connection: _Connection, asked: h11.Request, body: bytes
+        self, connection: _Connection, request: h11.Request, body: bytes
     ) -> None:
-        data = _encode(connection.http, asked, body)
+        data = _encode(connection.http, request, body)
         try:
             await connection.stream.send_all(data)
         except (OSError, trio.BrokenResourceError) as problem:
-            # It may still have answered before it stopped reading.
+            # The runner may have answered before it stopped reading.
             if not connection.http.trailing_data[0] and not body:
-                raise errors.OutcomeUnknown(f'not sent: {problem}')
+                raise errors.OutcomeUnknown(f'request not sent: {problem}')
 
-    async def _reply(
+    async def _read_reply(
         self,
         connection: _Connection,
-        asked: h11.Request,
+        request: h11.Request,
         body: bytes,
         request_id: str | None,
     ) -> Reply:
-        """Return the answer to this request, past those to earlier ones."""
-        for _ in range(MAX_SURPLUS):
-            status, headers = await self._head(connection)
+        """Return the answer to this request, skipping earlier ones."""
+        for _ in range(MAX_ANSWERS):
+            status, headers = await self._read_head(connection)
             head = dialects.read_reply(status, headers, self._names)
             reply = Reply(connection, head, headers)
             if None in (request_id, head.request_id):
@@ -219,34 +224,38 @@
             if head.request_id == request_id:
                 return reply
             await reply.whole()
-            _expect_another(connection, asked, body)
-        raise errors.OutcomeUnknown('only answers to other requests came')
+            _expect_next_answer(connection, request, body)
+        raise errors.OutcomeUnknown('received only answers to other requests')
 
-    async def _head(self, connection: _Connection) -> tuple[int, Headers]:
+    async def _read_head(self, connection: _Connection) -> tuple[int, Headers]:
         try:
-            event = await connection.event()
+            event = await connection.next_event()
             while isinstance(event, h11.InformationalResponse):
-                event = await connection.event()
+                event = await connection.next_event()
         except (h11.RemoteProtocolError, OSError) as problem:
             raise errors.OutcomeUnknown(f'no answer: {problem}')
         except trio.BrokenResourceError as problem:
             raise errors.OutcomeUnknown(f'no answer: {problem}')
         if not isinstance(event, h11.Response):
-            raise errors.OutcomeUnknown('the runner closed with no answer')
+            raise errors.OutcomeUnknown(
+                'the runner closed the connection without an answer'
+            )
         headers = list(event.headers.raw_items())
-        connection.heard(headers)
+        connection.update_idle_timeout(headers)
         return event.status_code, headers
 
-    async def _give_back(self, address: str, connection: _Connection) -> None:
-        """Keep a connection for the next request, or close it."""
+    async def _release(self, address: str, connection: _Connection) -> None:
+        """Keep a connection for reuse, or close it."""
         http = connection.http
-        whole = http.our_state is h11.DONE and http.their_state is h11.DONE
+        is_complete = (
+            http.our_state is h11.DONE and http.their_state is h11.DONE
+        )
         idle = self._idle.setdefault(address, [])
-        forgotten_s = self._forgotten_s.get(address, float('-inf'))
-        leads_there = connection.opened_s > forgotten_s
+        evicted_s = self._evicted_s.get(address, float('-inf'))
+        is_current = connection.opened_s > evicted_s
         if (
-            whole
-            and leads_there
+            is_complete
+            and is_current
             and not http.trailing_data[0]
             and len(idle) < MAX_IDLE
         ):
@@ -254,22 +263,22 @@
             connection.idle_since_s = self._now_s()
             idle.append(connection)
             return
-        if not whole:
+        if not is_complete:
             connection.reset_on_close()
         with trio.CancelScope(shield=True):
             await trio.aclose_forcefully(connection.stream)
 
     async def is_refused(self, address: str) -> bool:
-        """Return whether an address refuses connections, at once.
+        """Return whether an address refuses a connection.
 
-        False where it takes one, and where nothing answers in time: the box
-        may be cut off, or stand still.
+        False if it accepts one, and if nothing answers in time: its box may
+        be partitioned or suspended.
         """
         host, _, port = address.rpartition(':')
         with trio.move_on_after(self._connect_s):
-            with trio.socket.socket() as asked:
+            with trio.socket.socket() as probe:
                 try:
-                    await asked.connect((host, int(port)))
+                    await probe.connect((host, int(port)))
                 except ConnectionRefusedError:
                     return True
                 except OSError:
@@ -277,30 +286,30 @@
         return False
 
     async def forget(self, address: str) -> None:
-        """Close what is kept to a runner that is gone.
+        """Close idle connections to a runner that has ended or been replaced.
 
-        What is under way there goes on, and is not kept after it.
+        Connections in use are closed after their current request.
         """
-        while len(self._forgotten_s) >= MOST_FORGOTTEN:
-            del self._forgotten_s[next(iter(self._forgotten_s))]
-        self._forgotten_s[address] = self._now_s()
+        while len(self._evicted_s) >= MAX_EVICTED:
+            del self._evicted_s[next(iter(self._evicted_s))]
+        self._evicted_s[address] = self._now_s()
         for connection in self._idle.pop(address, []):
             await trio.aclose_forcefully(connection.stream)
 
 
-def _encode(http: h11.Connection, asked: h11.Request, body: bytes) -> bytes:
-    data = http.send(asked)
+def _encode(http: h11.Connection, request: h11.Request, body: bytes) -> bytes:
+    data = http.send(request)
     if body:
         data += http.send(h11.Data(body))
     return data + http.send(h11.EndOfMessage())
 
 
-def _expect_another(
-    connection: _Connection, asked: h11.Request, body: bytes
+def _expect_next_answer(
+    connection: _Connection, request: h11.Request, body: bytes
 ) -> None:
-    """Read on past an answer that belongs to an earlier request."""
-    waiting, _ = connection.http.trailing_data
+    """Reset the parser to read the answer after a skipped one."""
+    unread, _ = connection.http.trailing_data
     connection.http = h11.Connection(h11.CLIENT)
-    _encode(connection.http, asked, body)
-    if waiting:
-        connection.http.receive_data(waiting)
+    _encode(connection.http, request, body)
+    if unread:
+        connection.http.receive_data(unread)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -779,7 +779,8 @@
     ),
     Mutant(
         'last hop: how long connections are kept is not heard', 'lasthop',
-        'if told_s is not None:', 'if False:', 'lives', 'idle connections',
+        'if announced_s is not None:', 'if False:',
+        'lives', 'idle connections',
     ),
     Mutant(
         'forwarding: what ran is called not run', 'forwarding',
@@ -948,8 +949,8 @@
     ),
     Mutant(
         'lives: connections in use are kept', 'lasthop',
-        'leads_there = connection.opened_s > forgotten_s',
-        'leads_there = True', 'lives',
+        'is_current = connection.opened_s > evicted_s',
+        'is_current = True', 'lives',
     ),
     Mutant(
         'lives: nested bodies end the connection', 'instances',
