--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -321,10 +321,10 @@
     exchange.events_sent = count
     runner = instances.Instance('i', 's', '', '', '', 1, instances.READY)
 
-    async def is_refused(address):
+    async def refuses_connections(address):
         return True
 
-    pool = types.SimpleNamespace(is_refused=is_refused)
+    pool = types.SimpleNamespace(refuses_connections=refuses_connections)
     trio.run(
         context.watch.check_attempt,
         exchange,
@@ -421,7 +421,7 @@
 def check_told_refused(context, told):
     async def ask():
         pool = lasthop.Pool(dialects.NATIVE.headers, trio.current_time)
-        return await pool.is_refused(context.address)
+        return await pool.refuses_connections(context.address)
 
     assert trio.run(ask) == (told == 'told')
     for filler in context.fillers:
--- a/features/worlds/crashes.py
+++ b/features/worlds/crashes.py
@@ -88,7 +88,7 @@
         head = dialects.ReplyHead(200, None, False, None, None, None)
         yield types.SimpleNamespace(head=head, headers=[], whole=answers.whole)
 
-    async def is_refused(self, address):
+    async def refuses_connections(self, address):
         await trio.sleep(WAY_S)
         return self.play.runners[address].is_down
 
--- a/mountridge/net/lasthop.py
+++ b/mountridge/net/lasthop.py
@@ -268,7 +268,7 @@
         with trio.CancelScope(shield=True):
             await trio.aclose_forcefully(connection.stream)
 
-    async def is_refused(self, address: str) -> bool:
+    async def refuses_connections(self, address: str) -> bool:
         """Return whether an address refuses a connection.
 
         False if it accepts one, and if nothing answers in time: its box may
--- a/mountridge/routing/crashwatch.py
+++ b/mountridge/routing/crashwatch.py
@@ -62,7 +62,7 @@
             return  # a planned stop
         if self._backoffs.is_leaving(runner):
             return
-        if not await pool.is_refused(runner.address):
+        if not await pool.refuses_connections(runner.address):
             return
         now_s = self._app.now_s()
         digest = routefilters.request_digest(self._quarantine, exchange)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -708,7 +708,7 @@
     ),
     Mutant(
         'quarantine: each broken connection is a crash', 'crashwatch',
-        'if not await pool.is_refused(runner.address):', 'if False:',
+        'if not await pool.refuses_connections(runner.address):', 'if False:',
         'quarantine',
     ),
     Mutant(
