--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -55,7 +55,7 @@
         head = dialects.ReplyHead(200, None, False, None, None, None)
         yield types.SimpleNamespace(head=head, headers=[], whole=answers.whole)
 
-    async def forget(self, address):
+    async def evict(self, address):
         pass
 
 
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -346,7 +346,7 @@
         async with _ask(context, address) as reply:
             assert context.opened == 1, context.opened
             context.now_s += 1
-            await context.pool.forget(address)
+            await context.pool.evict(address)
             await reply.whole()
         context.now_s += 1
         async with _ask(context, address) as reply:
--- a/features/worlds/crashes.py
+++ b/features/worlds/crashes.py
@@ -92,7 +92,7 @@
         await trio.sleep(WAY_S)
         return self.play.runners[address].is_down
 
-    async def forget(self, address):
+    async def evict(self, address):
         pass
 
 
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -175,7 +175,7 @@
             {m.name: m.hall for m in gateways}, self.app.now_s()
         )
         for address in self.backends.follow(registered):
-            self.app.start_task(self.forwarder.pool.forget, address)
+            self.app.start_task(self.forwarder.pool.evict, address)
         self._tell_cold(registered)
 
     def _tell_cold(self, registered: list[instances.Instance]) -> None:
--- a/mountridge/net/lasthop.py
+++ b/mountridge/net/lasthop.py
@@ -285,7 +285,7 @@
                     return False
         return False
 
-    async def forget(self, address: str) -> None:
+    async def evict(self, address: str) -> None:
         """Close idle connections to a runner that has ended or been replaced.
 
         Connections in use are closed after their current request.
