--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -326,7 +326,7 @@
     async def script(address):
         for span_s in (rest_s, 0.0):
             async with _ask(context, address) as reply:
-                await reply.whole()
+                await reply.read_body()
             context.now_s += span_s
 
     _on_loopback(context, script)
@@ -341,16 +341,16 @@
 def told_again(context):
     async def script(address):
         async with _ask(context, address) as reply:
-            await reply.whole()
+            await reply.read_body()
         context.now_s += 1
         async with _ask(context, address) as reply:
             assert context.opened == 1, context.opened
             context.now_s += 1
             await context.pool.evict(address)
-            await reply.whole()
+            await reply.read_body()
         context.now_s += 1
         async with _ask(context, address) as reply:
-            await reply.whole()
+            await reply.read_body()
 
     _on_loopback(context, script)
 
--- a/features/worlds/rests.py
+++ b/features/worlds/rests.py
@@ -112,7 +112,7 @@
         told = [(NAMES.request_id, request_id.encode()), *answer.headers]
         head = dialects.read_reply(answer.status, told, NAMES)
         yield types.SimpleNamespace(
-            head=head, headers=told, whole=answers.whole
+            head=head, headers=told, read_body=answers.whole
         )
 
 
--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -77,7 +77,7 @@
             async with pool.request(
                 address, method, target, headers, body, None
             ) as reply:
-                return reply.head.status, await reply.whole()
+                return reply.head.status, await reply.read_body()
 
     try:
         status, answer = trio.run(work)
--- a/mountridge/dispatch/upstreams.py
+++ b/mountridge/dispatch/upstreams.py
@@ -30,7 +30,7 @@
 
         :raises BadAnswer: it was cut before its end.
         """
-        return self._reply.pieces()
+        return self._reply.chunks()
 
 
 class Upstream:
--- a/mountridge/groups/engines.py
+++ b/mountridge/groups/engines.py
@@ -63,7 +63,7 @@
             async with self._pool.request(
                 self._address, method, target, headers, body, None
             ) as reply:
-                return reply.head, await reply.whole()
+                return reply.head, await reply.read_body()
         raise errors.OutcomeUnknown('no answer in time')
 
     async def read(
--- a/mountridge/net/lasthop.py
+++ b/mountridge/net/lasthop.py
@@ -102,7 +102,7 @@
         self.head = head
         self.headers: Headers = headers
 
-    async def pieces(self) -> typing.AsyncIterator[bytes]:
+    async def chunks(self) -> typing.AsyncIterator[bytes]:
         """Yield the body; return only at its explicit end.
 
         :raises BadAnswer: the body was truncated.
@@ -123,12 +123,12 @@
         except trio.BrokenResourceError as problem:
             raise errors.BadAnswer(str(problem))
 
-    async def whole(self) -> bytes:
+    async def read_body(self) -> bytes:
         """Return the complete body.
 
         :raises BadAnswer: the body was truncated.
         """
-        return b''.join([piece async for piece in self.pieces()])
+        return b''.join([chunk async for chunk in self.chunks()])
 
 
 class Pool:
@@ -223,7 +223,7 @@
                 return reply
             if head.request_id == request_id:
                 return reply
-            await reply.whole()
+            await reply.read_body()
             _expect_next_answer(connection, request, body)
         raise errors.OutcomeUnknown('received only answers to other requests')
 
--- a/mountridge/routing/routedanswers.py
+++ b/mountridge/routing/routedanswers.py
@@ -41,7 +41,7 @@
 async def _forward_complete(
     exchange: Exchange, reply: lasthop.Reply, now_s: Clock
 ) -> None:
-    body = await reply.whole()
+    body = await reply.read_body()
     status = reply.head.status
     if exchange.responder.started:
         raise errors.RunnerFailed(
@@ -77,7 +77,7 @@
         exchange.status = reply.head.status
         await responder.start(reply.head.status, headers)
     splitter = events.Splitter()
-    async for chunk in reply.pieces():
+    async for chunk in reply.chunks():
         new = [
             event for event in splitter.feed(chunk) if _is_new(exchange, event)
         ]
--- a/standins/lab.py
+++ b/standins/lab.py
@@ -170,7 +170,7 @@
                 async with self.pool.request(
                     address, b'POST', path, sized, body, None
                 ) as reply:
-                    return reply.head.status, await reply.whole()
+                    return reply.head.status, await reply.read_body()
         except errors.MountridgeError:
             return 503, b''
         return 503, b''
@@ -294,7 +294,7 @@
     ) -> None:
         seen = self.seen[kind.name]
         first_ms = 0.0
-        async for _ in reply.pieces():
+        async for _ in reply.chunks():
             if not first_ms:
                 first_ms = (trio.current_time() - began_s) * 1000
         if reply.head.status != 200:
--- a/tools/soak/loads.py
+++ b/tools/soak/loads.py
@@ -113,7 +113,7 @@
                 async with self.pool.request(*sent) as reply:
                     status = reply.head.status
                     named = {k.lower(): v for k, v in reply.headers}
-                    async for piece in reply.pieces():
+                    async for piece in reply.chunks():
                         pieces.append(piece)
                     is_whole = True
             except errors.MountridgeError:
