--- a/features/steps/forwarding_steps.py
+++ b/features/steps/forwarding_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on the forwarder, between raw callers and raw runners on loopback."""
+"""Steps for the forwarder, with raw callers and runners on loopback."""
 
 import types
 
@@ -15,16 +15,16 @@
 
 EVENTS = [b'id: %d\ndata: e%d\n\n' % (n, n) for n in range(1, 6)]
 HOST = '127.0.0.1'
-#: After how many events a stream is cut; a half is inside the next one.
-PAUSES = 'stops after 2 events for a while'
-CUTS = {
-    'breaks off its answer': 2,
-    'breaks off inside an event': 2.5,
+PAUSES = 'pauses after 2 events'
+#: Events after which a stream is truncated; a half is within the next one.
+TRUNCATIONS = {
+    'truncates its answer': 2,
+    'truncates an event': 2.5,
     PAUSES: 2,
 }
-#: A rank that refuses since its group is not open.
+#: The fault of a rank that refuses requests while its group is closed.
 CLOSED = 'refuses while its group is closed'
-#: Lets the gateway read the first events before the rest comes.
+#: Time for the gateway to read the first events before the next are sent.
 PAUSE_S = 0.1
 LIMITS = routes.Limits(8192, 2000, 300.0, 2000.0)
 
@@ -35,18 +35,18 @@
     return b'\r\n'.join(lines) + b'\r\n' + extra
 
 
-def _whole(status, request, body, extra=b''):
+def _answer_bytes(status, request, body, extra=b''):
     length = b'Content-Length: %d\r\n\r\n' % len(body)
     return _head(status, request, extra + length) + body
 
 
-def _stream(request, cut_after=None):
-    """Return a stream's bytes from the event after the last one given."""
+def _stream(request, truncate_after=None):
+    """Return a stream from the event after the last one that was received."""
     first = int(request.get(b'last-event-id', b'0'))
     data = _head(200, request, b'Transfer-Encoding: chunked\r\n\r\n')
     for number, event in enumerate(EVENTS[first:]):
-        if cut_after is not None and number >= int(cut_after):
-            if number != cut_after:
+        if truncate_after is not None and number >= int(truncate_after):
+            if number != truncate_after:
                 data += b'%x\r\n%s\r\n' % (4, event[:4])
             return data
         data += b'%x\r\n%s\r\n' % (len(event), event)
@@ -54,21 +54,21 @@
 
 
 class Runner:
-    """One runner that speaks raw bytes, well or not."""
+    """A runner that sends raw bytes, correctly or with a fault."""
 
     def __init__(self, fault):
         self.fault = fault
         self.runs = 0
-        self.seen = []
+        self.received = []
         self.closed = trio.Event()
         self.was_reset = False
-        #: Called when a request has come, before its answer.
+        #: Called when a request is received, before the answer.
         self.on_request = lambda: None
 
     async def serve(self, stream):
         request = await self._read(stream)
         while request is not None:
-            self.seen.append(request)
+            self.received.append(request)
             self.on_request()
             data, keep = self._answer(request)
             if data is None:
@@ -89,7 +89,7 @@
             try:
                 more = await stream.receive_some(4096)
             except trio.BrokenResourceError:
-                # The gateway has reset the connection: no request comes.
+                # The gateway has reset the connection.
                 return None
             if not more:
                 return None
@@ -101,39 +101,42 @@
         return found
 
     def _answer(self, request):
-        """Return (bytes, whether the connection goes on)."""
+        """Return (bytes, whether to keep the connection open)."""
         fault = self.fault
         if fault == CLOSED:
-            return _whole(503, request, b'', b'X-Not-Run: 1\r\n'), True
-        if fault == 'says that it has not run it':
-            return _whole(503, request, b'', b'X-Not-Run: 1\r\n'), True
-        if fault == 'says that another runner was meant':
-            return _whole(421, request, b''), True
+            return _answer_bytes(503, request, b'', b'X-Not-Run: 1\r\n'), True
+        if fault == 'reports that it has not run it':
+            return _answer_bytes(503, request, b'', b'X-Not-Run: 1\r\n'), True
+        if fault == 'reports that it is another instance':
+            return _answer_bytes(421, request, b''), True
         self.runs += 1
         if fault == 'never answers':
             return None, False
-        if fault == 'closes with no answer':
+        if fault == 'closes without an answer':
             return b'', False
         if request[b'streams']:
-            cut = CUTS.get(fault)
+            cut = TRUNCATIONS.get(fault)
             return _stream(request, cut), cut is None or fault == PAUSES
-        if fault == 'breaks off its answer':
-            return _whole(200, request, b'whole')[:-2], False
-        if fault == 'fails while it runs it':
-            return _whole(500, request, b'failed'), True
+        if fault == 'truncates its answer':
+            return _answer_bytes(200, request, b'whole')[:-2], False
+        if fault == 'fails while running it':
+            return _answer_bytes(500, request, b'failed'), True
         if fault == 'first answers an earlier request':
             other = {b'x-request-id': b'other'}
-            earlier = _whole(200, other, b'not this')
-            return earlier + _whole(200, request, b'whole'), True
-        if fault == 'sends more behind its answer':
-            return _whole(200, request, b'whole') + b'HTTP/1.1 200', True
-        if fault == 'tells no length and closes':
+            earlier = _answer_bytes(200, other, b'not this')
+            return earlier + _answer_bytes(200, request, b'whole'), True
+        if fault == 'sends more data after its answer':
+            return (
+                _answer_bytes(200, request, b'whole') + b'HTTP/1.1 200',
+                True,
+            )
+        if fault == 'sends no length and closes':
             return _head(200, request, b'\r\n') + b'whole', False
-        return _whole(200, request, b'whole'), True
+        return _answer_bytes(200, request, b'whole'), True
 
 
 async def _read_to_end(stream):
-    """Return whether the connection ends with a reset."""
+    """Return whether the connection is ended by a reset."""
     try:
         await stream.receive_some(1)
     except trio.BrokenResourceError:
@@ -155,7 +158,7 @@
 
 
 class World:
-    """A forwarder with its server, and two runners."""
+    """A forwarder with its server, and runners with the given faults."""
 
     def __init__(self, *faults, engine=None):
         self.runners = [Runner(fault) for fault in faults]
@@ -202,7 +205,7 @@
                 )  # fmt: skip
             )
         self.known.follow(registered)
-        # So that the first one is taken first, and the last one last.
+        # Makes the first one the least loaded, and the last one the most.
         for number in range(1, len(registered)):
             known = self.known.by_id[f'i-{number}']
             known.heard(2 + number, 0, trio.current_time())
@@ -216,7 +219,7 @@
         return await trio.open_tcp_stream(HOST, self.port)
 
 
-def _play(context, script):
+def _run(context, script):
     async def main():
         async with trio.open_nursery() as nursery:
             with trio.fail_after(10):
@@ -228,7 +231,7 @@
 
 
 async def _read_all(stream):
-    """Return what comes until 0.5 s of silence, or the end."""
+    """Return what is received until a complete answer, the end or 5 s."""
     data = b''
     with trio.move_on_after(5):
         while True:
@@ -236,12 +239,12 @@
             if not more:
                 break
             data += more
-            if data.endswith(b'\r\n0\r\n\r\n') or _is_whole(data):
+            if data.endswith(b'\r\n0\r\n\r\n') or _is_complete(data):
                 break
     return data
 
 
-def _is_whole(data):
+def _is_complete(data):
     head, _, body = data.partition(b'\r\n\r\n')
     for line in head.split(b'\r\n'):
         name, _, value = line.partition(b': ')
@@ -263,7 +266,7 @@
 
 
 async def _ask(context, world, kind):
-    """Send one request on a connection of its own and keep its answer."""
+    """Send one request on a new connection and keep the answer."""
     stream = await world.open()
     await stream.send_all(_request(b'/%s/1' % kind.encode()))
     context.data = await _read_all(stream)
@@ -271,18 +274,19 @@
 
 @given('two runners of which the first {fault}')
 def two_runners(context, fault):
-    context.world = World(fault, 'answers well')
+    context.world = World(fault, 'answers correctly')
 
 
 @given(
-    'four runners of which all but the last say that another runner was meant'
+    'four runners of which all but the last report that they are other'
+    ' instances'
 )
 def replaced_runners(context):
-    replaced = 'says that another runner was meant'
-    context.world = World(replaced, replaced, replaced, 'answers well')
+    replaced = 'reports that it is another instance'
+    context.world = World(replaced, replaced, replaced, 'answers correctly')
 
 
-@given('two ranks of a group that is closed')
+@given('two ranks of a closed group')
 def closed_ranks(context):
     engine = routes.Engine(4, 1000, experts=8)
     context.world = World(CLOSED, CLOSED, engine=engine)
@@ -294,17 +298,17 @@
         world.known.report(load, now_s)
 
 
-@when('a streaming request is sent and a report says that it has opened')
+@when('a streaming request is sent and a load report shows the group open')
 def send_and_open(context):
     async def script(world):
         refused = trio.Event()
 
         async def open_group():
             await refused.wait()
-            # After the answer to the try, which is not on its way yet.
+            # The answer is sent after this event; wait until it is received.
             await trio.testing.wait_all_tasks_blocked(0.05)
             for runner in world.runners:
-                runner.fault = 'answers well'
+                runner.fault = 'answers correctly'
             _report(world, True, trio.current_time())
 
         world.runners[0].on_request = refused.set
@@ -313,10 +317,13 @@
             await _ask(context, world, 'streaming')
 
     context.kind = 'streaming'
-    _play(context, script)
+    _run(context, script)
 
 
-@when('a streaming request is sent after reports of that for {closed_s:g} s')
+@when(
+    'a streaming request is sent after {closed_s:g} s of reports that it is'
+    ' closed'
+)
 def send_to_closed(context, closed_s):
     async def script(world):
         now_s = trio.current_time()
@@ -327,19 +334,19 @@
         context.took_s = trio.current_time() - now_s
 
     context.kind = 'streaming'
-    _play(context, script)
+    _run(context, script)
 
 
-@then('it came {when} and tells when to come back')
+@then('it was returned {when}, with a Retry-After header')
 def check_when(context, when):
     waited = context.took_s > 0.2
     assert waited == (when == 'after some wait'), context.took_s
     assert b'retry-after' in context.data.lower(), context.data
 
 
-@then('no runner has seen it')
-def check_unseen(context):
-    assert not any(runner.seen for runner in context.world.runners)
+@then('no runner has received it')
+def check_unreceived(context):
+    assert not any(runner.received for runner in context.world.runners)
 
 
 @when('a {kind} request is sent {early_s:g} s before they register')
@@ -356,7 +363,7 @@
             await _ask(context, world, kind)
 
     context.kind = kind
-    _play(context, script)
+    _run(context, script)
 
 
 @given('a runner that {fault}, and one that {other}')
@@ -371,13 +378,13 @@
             await _ask(context, world, kind)
 
     context.kind = kind
-    _play(context, script)
+    _run(context, script)
 
 
-@then('the first runner has seen {count:d} of them')
-def check_seen(context, count):
-    seen = context.world.runners[0].seen
-    assert len(seen) == count, seen
+@then('the first runner has received {count:d} of them')
+def check_received(context, count):
+    received = context.world.runners[0].received
+    assert len(received) == count, received
     assert b' 200 ' in context.data.split(b'\r\n')[0], context.data
 
 
@@ -387,35 +394,35 @@
         await _ask(context, world, kind)
 
     context.kind = kind
-    _play(context, script)
+    _run(context, script)
 
 
 @when(
-    'a streaming request is sent and that runner takes {pace:g} times its time'
+    'a streaming request is sent and that runner slows down {slowdown:g} times'
 )
-def send_to_slow(context, pace):
+def send_to_slow(context, slowdown):
     async def script(world):
         def slow():
-            world.known.by_id['i-0'].pace = pace
+            world.known.by_id['i-0'].pace = slowdown
 
         world.runners[0].on_request = slow
         await _ask(context, world, 'streaming')
 
     context.kind = 'streaming'
-    _play(context, script)
+    _run(context, script)
 
 
-@when('a streaming request comes after the time for new ones')
+@when('a streaming request arrives when new ones are refused')
 def send_after_close(context):
     async def script(world):
         world.forwarder.closed = True
         await _ask(context, world, 'streaming')
 
     context.kind = 'streaming'
-    _play(context, script)
+    _run(context, script)
 
 
-@when('a safe request comes {before_s:g} s before the first routes')
+@when('a safe request arrives {before_s:g} s before the first routes')
 def send_before_routes(context, before_s):
     async def script(world):
         index, world.index = world.index, None
@@ -433,7 +440,7 @@
             nursery.cancel_scope.cancel()
 
     context.kind = 'safe'
-    _play(context, script)
+    _run(context, script)
 
 
 @then('its answer is {answer}')
@@ -441,15 +448,15 @@
     head, _, body = context.data.partition(b'\r\n\r\n')
     status = int(head.split(b' ')[1])
     assert status == int(answer.split()[0]), context.data
-    if answer.endswith('whole') and context.kind == 'streaming':
+    if answer.endswith('complete') and context.kind == 'streaming':
         sent = [x for x in body.split(b'\r\n') if x and len(x) > 3]
         assert b''.join(sent) == b''.join(EVENTS), body
         assert body.endswith(b'0\r\n\r\n'), body
-    elif answer.endswith('whole'):
+    elif answer.endswith('complete'):
         assert body == b'whole', context.data
     elif answer.endswith('unknown'):
         assert b'"outcome": "unknown"' in body, body
-    elif answer.endswith('of the runner'):
+    elif answer.endswith('from the runner'):
         assert body == b'failed', body
 
 
@@ -460,19 +467,19 @@
 
 
 @then(
-    "the caller's key reached no runner, and each was told what time is left"
+    "no runner received the caller's key, and each received the remaining time"
 )
 def check_headers(context):
     for runner in context.world.runners:
-        for request in runner.seen:
+        for request in runner.received:
             assert b'authorization' not in request, request
             assert 0 < int(request[b'x-deadline-ms']) <= 2500, request
             assert request[b'x-team'] == b'crews', request
             assert request[b'x-expect-instance'].startswith(b'i-'), request
 
 
-@when('a safe request is sent and its caller leaves after 0.2 s')
-def leave(context):
+@when('a safe request is sent and its caller disconnects after 0.2 s')
+def disconnect(context):
     async def script(world):
         stream = await world.open()
         await stream.send_all(_request(b'/safe/1'))
@@ -481,10 +488,10 @@
         with trio.move_on_after(0.5):
             await world.runners[0].closed.wait()
 
-    _play(context, script)
+    _run(context, script)
 
 
-@then('it is reset, so that what the runner has not read is dropped')
+@then('it is reset, so that data not read by the runner is dropped')
 def check_reset(context):
     assert context.world.runners[0].was_reset
 
@@ -494,10 +501,10 @@
     assert context.world.runners[0].closed.is_set()
 
 
-SENT = {
+INVALID = {
     'sends no key': _request(b'/safe/1', key=b''),
-    'sends a key that no team holds': _request(b'/safe/1', key=b'other'),
-    'asks for a path with no route': _request(b'/none/1'),
+    'sends a key of no team': _request(b'/safe/1', key=b'other'),
+    'requests a path without a route': _request(b'/none/1'),
     'sends a head of 20000 bytes': _request(
         b'/safe/1', extra=b'X-Much: ' + b'x' * 20000 + b'\r\n'
     ),
@@ -506,21 +513,21 @@
     )
     + b'x' * 3000,
     'sends half a head and waits': _request(b'/safe/1')[:-10],
-    'sends what is no request': b'nonsense\r\n\r\n',
+    'sends an invalid request': b'nonsense\r\n\r\n',
 }
 
 
 @when('one caller {does}')
-def send_wrong(context, does):
+def send_invalid(context, does):
     async def script(world):
         stream = await world.open()
-        await stream.send_all(SENT[does])
+        await stream.send_all(INVALID[does])
         context.data = await _read_all(stream)
 
-    _play(context, script)
+    _run(context, script)
 
 
-@then('it is answered {status:d} and nothing ran')
+@then('it is answered with {status:d} and no runner ran it')
 def check_status(context, status):
     assert context.data.startswith(b'HTTP/1.1 %d ' % status), context.data
     assert not any(runner.runs for runner in context.world.runners)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -521,7 +521,7 @@
     Mutant(
         'last hop: abandoned requests left to be read', 'lasthop',
         'connection.reset_on_close()', 'pass', 'forwarding',
-        'A caller that leaves',
+        'A caller that disconnects',
     ),
     Mutant(
         'routes: tries that met another runner count', 'forwarding',
@@ -565,7 +565,7 @@
     Mutant(
         'forwarding: no wait for the first routes', 'forwarding',
         'with trio.move_on_after(ROUTES_WAIT_S):',
-        'with trio.move_on_after(0):', 'forwarding', 'knows no routes',
+        'with trio.move_on_after(0):', 'forwarding', 'has no routes',
     ),
     Mutant(
         'picking: a closed group is not waited for', 'picking',
@@ -1211,7 +1211,7 @@
         'last hop: cut answers look whole', 'lasthop',
         'as problem:\n            raise errors.BadAnswer(str(problem))\n'
         '        except trio', 'as problem:\n            return\n'
-        '        except trio', 'forwarding', 'breaks off',
+        '        except trio', 'forwarding', 'truncates',
     ),
     Mutant(
         'budgets: no bound', 'budgets',
