--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -1,91 +1,91 @@
-Feature: A request that crashes its runners reaches few of them
+Feature: Quarantine of requests that crash their runners
 
-  Scenario Outline: A killer comes again at all gateways, <case>
+  Scenario Outline: A crashing request is repeated at all gateways, while <case>
     Given 6 runners of <kind>
-    When a killer comes each 1 s at another gateway for 20 s, while <case>
+    When a crashing request is sent every 1 s to another gateway for 20 s, while <case>
     Then it has crashed <least> to <most> runners
-    And it has reached none later than 1 s after it was the <most>th time
-    And it is then refused at once, finally and with its own code
+    And it has reached none more than 1 s after crash <most>
+    And it is then refused at once, as final and with its own code
     And no other request has been refused with that code
 
     Examples:
-      | kind            | case                           | least | most |
-      | a plain service | nothing else happens           | 2     | 2    |
-      | a group         | nothing else happens           | 2     | 2    |
-      | a plain service | others run beside it           | 2     | 2    |
-      | a plain service | the leader is killed after one | 2     | 3    |
-      | a plain service | a gateway is cut off after one | 2     | 4    |
-
-  Scenario: What is held back stays so when all processes have lost power
+      | kind            | case                                     | least | most |
+      | a plain service | nothing else happens                     | 2     | 2    |
+      | a group         | nothing else happens                     | 2     | 2    |
+      | a plain service | other requests run at the same time      | 2     | 2    |
+      | a plain service | the leader is killed after one crash     | 2     | 3    |
+      | a plain service | a gateway is partitioned after one crash | 2     | 4    |
+
+  Scenario: A quarantine survives a loss of power of all processes
     Given 6 runners of a plain service
-    When a killer is held back, all processes lose power, and it comes 9 times
+    When a crashing request is quarantined, all processes lose power, and it is sent 9 times
     Then it has crashed 2 to 2 runners
 
-  Scenario: A runner that crashes by itself holds back nobody
+  Scenario: Crashes that no request causes quarantine none
     Given 6 runners of a plain service
-    When 20 other requests a second come for 60 s, and a runner crashes each 5 s
+    When 20 other requests a second are sent for 60 s, and a runner crashes every 5 s
     Then no other request has been refused with that code
-    And at least 98 in 100 are served
+    And at least 98 % are served
 
-  Scenario: Connections that break are no crashes
+  Scenario: Connection resets are not crashes
     Given 6 runners of a plain service
-    When 20 other requests a second come for 60 s, and one resets each 0.5 s
+    When 20 other requests a second are sent for 60 s, and a runner resets its connections every 0.5 s
     Then no other request has been refused with that code
-    And no crash has been counted
+    And no crash has been recorded
 
-  Scenario: A crash that is told again and again counts once
+  Scenario: A crash that is reported repeatedly counts once
     Given 6 runners of a plain service
-    When a request has met one crash, and comes again after 9 s
+    When a request has seen one crash, and is sent again after 9 s
     Then it is served everywhere within 1 s
 
-  Scenario: A snapshot keeps what is held back, in its order
-    When 1100 requests are held back, and 5 of them released, in a log
-    Then 995 are kept, the latest ones, and a snapshot gives the same
+  Scenario: A snapshot keeps the quarantine entries, in their order
+    When 1100 requests are quarantined, and 5 of them released, in a log
+    Then the latest 995 are kept, and a snapshot restores them
 
-  Scenario: What was held back is tried once, later and later
+  Scenario: A quarantined request is probed at increasing intervals
     Given 6 runners of a plain service
-    When a killer is held back and comes each 5 s for 400 s
+    When a crashing request is quarantined and sent every 5 s for 400 s
     Then it has crashed 4 to 4 runners
 
-  Scenario: A request that has ended well since is free at once
+  Scenario: A quarantined request that succeeds is released at once
     Given 6 runners of a plain service
-    When a request is held back for crashes of others, and has ended well since
+    When a request is quarantined for other crashes, and has succeeded since
     Then it is served everywhere within 1 s
 
-  Scenario: A trial that ends well forgets that it was held back
+  Scenario: A successful probe removes the quarantine entry
     Given 6 runners of a plain service
-    When a request is held back for crashes of others, and is tried 62 s later
-    Then it is served, and nothing is known of it any more
+    When a request is quarantined for other crashes, and is sent 62 s later
+    Then it is served, and no entry of it remains
 
-  Scenario Outline: Second tries on a group while a request is held back
-    Given a rank that crashed under a request which had shown <events> events
-    Then it <may> be tried again
+  Scenario Outline: Retries on a group while a request is quarantined
+    Given a rank that crashed while running a request that had returned <events> events
+    Then it <may> be retried
 
     Examples:
       | events | may     |
       | 0      | may not |
       | 3      | may     |
 
-  Scenario: An operator lists what is held back, and releases it
+  Scenario: An operator lists the quarantine entries, and releases one
     Given 6 runners of a plain service
-    When a killer is held back, and an operator releases it
-    Then it was listed, it reaches runners again, and no other digest is taken
+    When a crashing request is quarantined, and an operator releases it
+    Then it was listed, it reaches runners again, and no other digest is accepted
 
   Scenario Outline: The command line shows "<args>"
-    Given an entry that answers commands and knows two requests
+    Given an entry with two quarantine entries
     When "quarantine <args>" is run on it
-    Then it has been asked for <asked>, and shows <shown>
+    Then it has received <received>, and shows <shown>
 
     Examples:
-      | args           | asked                       | shown                 |
-      | list           | GET /v1/quarantine/         | held back 2 1         |
-      | list           | GET /v1/quarantine/         | may be tried 5 2      |
-      | list --json    | GET /v1/quarantine/         | "is_held": true       |
-      | release 00ff   | POST /v1/quarantine/00ff/release | held back 2 1    |
+      | args         | received                         | shown            |
+      | list         | GET /v1/quarantine/              | held back 2 1    |
+      | list         | GET /v1/quarantine/              | may be tried 5 2 |
+      | list --json  | GET /v1/quarantine/              | "is_held": true  |
+      | release 00ff | POST /v1/quarantine/00ff/release | held back 2 1    |
 
-  Scenario Outline: What stands for a request differs by its <part> alone
-    Then the digest of a request with another <part> is another one
-    And it tells no byte of the request, and is another one under another key
+  Scenario Outline: The digest of a request depends on its <part>
+    Then the digest of a request with another <part> is different
+    And it has a fixed size, and differs under another key
 
     Examples:
       | part   |
@@ -94,17 +94,17 @@
       | caller |
       | body   |
 
-  Scenario Outline: A broken connection is a crash only if <sign>
-    Given a real address that <sign>
-    Then it is <told> as one that refuses connections
+  Scenario Outline: A broken connection is a crash only if its address <behaviour>
+    Given a real address that <behaviour>
+    Then it is <reported> as one that refuses connections
 
     Examples:
-      | sign              | told     |
-      | refuses the next  | told     |
-      | takes the next    | not told |
-      | answers no packet | not told |
-
-  Scenario: Suspects and good ends are kept within a bound
-    When 5000 requests are suspect, and 5000 end well
-    Then no more than 500 and 1000 of them are kept, the latest ones
-    And they are told for 30 s, 64 at a time, and count for 600 s
+      | behaviour           | reported     |
+      | refuses connections | reported     |
+      | accepts connections | not reported |
+      | answers no packet   | not reported |
+
+  Scenario: The records of suspects and successes are bounded
+    When 5000 requests are suspect, and 5000 succeed
+    Then the latest 500 and 1000 of them are kept
+    And they are reported for 30 s, 64 at a time, and count for 600 s
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on requests that crash their runners."""
+"""Steps for the quarantine of requests that crash their runners."""
 
 import json
 import socket
@@ -19,8 +19,8 @@
 from mountridge.routing import routedexchanges
 from mountridge.state import commands, statemachine
 
-KILLER = b'kill all'
-HELD = errors.RequestHeldBack.code
+CRASHING = b'crash all'
+QUARANTINED = errors.RequestHeldBack.code
 
 
 @given('{count:d} runners of {kind}')
@@ -28,17 +28,17 @@
     context.sizes = {'count': count, 'experts': 8 * (kind == 'a group')}
 
 
-async def _until_held(play):
-    """Send a killer until it is refused; callers come again by themselves."""
+async def _until_quarantined(play):
+    """Send a crashing request until it is refused."""
     for number in range(40):
         name = play.world.entries[number % 3]
-        if await play.ask(name, KILLER) == HELD:
+        if await play.ask(name, CRASHING) == QUARANTINED:
             return
         await trio.sleep(1)
-    raise AssertionError('never held back')
+    raise AssertionError('never quarantined')
 
 
-async def _others(play, per_s, span_s):
+async def _send_others(play, per_s, span_s):
     async with trio.open_nursery() as nursery:
         for number in range(round(per_s * span_s)):
             name = play.world.entries[number % 3]
@@ -48,78 +48,79 @@
 
 
 async def _when_crashed(play, count, act):
-    while len(play.crashes(KILLER)) < count:
+    while len(play.crashes(CRASHING)) < count:
         await trio.sleep(0.01)
     act()
 
 
 async def _during(play, case, span_s):
-    if case == 'others run beside it':
-        await _others(play, 30, span_s)
-    elif case == 'the leader is killed after one':
-        # On a disk of its own; it comes back as a follower.
+    if case == 'other requests run at the same time':
+        await _send_others(play, 30, span_s)
+    elif case == 'the leader is killed after one crash':
+        # Restarted with its disk, it is a follower.
         leader = play.world.leader
         await _when_crashed(play, 1, lambda: play.world.kill(leader))
         await trio.sleep(1.5)
         play.start(leader)
-    elif case == 'a gateway is cut off after one':
+    elif case == 'a gateway is partitioned after one crash':
         await _when_crashed(play, 1, lambda: play.world.cut_off('e3'))
         await trio.sleep(8)
         play.world.heal('e3')
 
 
 @when(
-    'a killer comes each {rest_s:g} s at another gateway for {span_s:g} s,'
-    ' while {case}'
+    'a crashing request is sent every {interval_s:g} s to another gateway for'
+    ' {span_s:g} s, while {case}'
 )
-def killer_comes(context, rest_s, span_s, case):
+def send_crashing(context, interval_s, span_s, case):
     async def script(play):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_during, play, case, span_s)
-            for number in range(round(span_s / rest_s)):
+            for number in range(round(span_s / interval_s)):
                 name = play.world.entries[number % 3]
-                nursery.start_soon(play.ask, name, KILLER)
-                await trio.sleep(rest_s)
+                nursery.start_soon(play.ask, name, CRASHING)
+                await trio.sleep(interval_s)
 
     crashes.play(context, script, **context.sizes)
 
 
 @then('it has crashed {least:d} to {most:d} runners')
 def check_crashes(context, least, most):
-    found = context.play.crashes(KILLER)
+    found = context.play.crashes(CRASHING)
     assert least <= len(found) <= most, found
 
 
-@then(
-    'it has reached none later than {late_s:g} s after it was the {most:d}th'
-    ' time'
-)
+@then('it has reached none more than {late_s:g} s after crash {most:d}')
 def check_late(context, late_s, most):
-    found = context.play.crashes(KILLER)
+    found = context.play.crashes(CRASHING)
     if len(found) >= most:
         late = [at_s for at_s in found if at_s > found[most - 1] + late_s]
         assert not late, found
 
 
-@then('it is then refused at once, finally and with its own code')
+@then('it is then refused at once, as final and with its own code')
 def check_refused(context):
-    mine = [each for each in context.play.answers if each[2] == KILLER]
-    last_s = context.play.crashes(KILLER)[-1]
+    mine = [each for each in context.play.answers if each[2] == CRASHING]
+    last_s = context.play.crashes(CRASHING)[-1]
     after = [each for each in mine if each[0] - each[5] > last_s + 1]
     assert len(after) >= 5, mine
     for _, _, _, status, code, took_s in after:
-        assert (status, code) == (502, HELD), after
+        assert (status, code) == (502, QUARANTINED), after
         assert took_s < 0.1, after
 
 
 @then('no other request has been refused with that code')
 def check_others(context):
     answers = context.play.answers
-    held = [each for each in answers if each[2] != KILLER and each[4] == HELD]
+    held = [
+        each
+        for each in answers
+        if each[2] != CRASHING and each[4] == QUARANTINED
+    ]
     assert not held, held
 
 
-@then('at least {least:d} in 100 are served')
+@then('at least {least:d} % are served')
 def check_share(context, least):
     served = [each for each in context.play.answers if each[3] == 200]
     share = len(served) / len(context.play.answers)
@@ -127,39 +128,39 @@
 
 
 @when(
-    'a killer is held back, all processes lose power, and it comes {count:d}'
-    ' times'
+    'a crashing request is quarantined, all processes lose power, and it is'
+    ' sent {count:d} times'
 )
-def held_over_loss(context, count):
+def quarantined_over_loss(context, count):
     async def script(play):
-        await _until_held(play)
+        await _until_quarantined(play)
         await trio.sleep(1)
         await play.lose_power()
         for number in range(count):
-            await play.ask(play.world.entries[number % 3], KILLER)
+            await play.ask(play.world.entries[number % 3], CRASHING)
 
     crashes.play(context, script, **context.sizes)
 
 
-def _others_while(context, act, per_s, span_s, rest_s):
-    """Send other requests while ``act`` is done to each runner in turn."""
+def _send_others_while(context, act, per_s, span_s, interval_s):
+    """Send other requests while ``act`` is applied to each runner in turn."""
 
     async def script(play):
         async def disturb():
-            for number in range(round(span_s / rest_s)):
+            for number in range(round(span_s / interval_s)):
                 act(play, list(play.runners.values())[number % 6])
-                await trio.sleep(rest_s)
+                await trio.sleep(interval_s)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(disturb)
-            await _others(play, per_s, span_s)
+            await _send_others(play, per_s, span_s)
 
     crashes.play(context, script, **context.sizes)
 
 
 def _crash(play, runner):
     runner.crash()
-    play.world.nursery.start_soon(play.back, runner)
+    play.world.nursery.start_soon(play.restart, runner)
 
 
 def _reset(play, runner):
@@ -168,23 +169,23 @@
 
 
 @when(
-    '{per_s:g} other requests a second come for {span_s:g} s, and a runner'
-    ' crashes each {rest_s:g} s'
+    '{per_s:g} other requests a second are sent for {span_s:g} s, and a'
+    ' runner crashes every {interval_s:g} s'
 )
-def crash_by_itself(context, per_s, span_s, rest_s):
-    _others_while(context, _crash, per_s, span_s, rest_s)
+def crash_each(context, per_s, span_s, interval_s):
+    _send_others_while(context, _crash, per_s, span_s, interval_s)
 
 
 @when(
-    '{per_s:g} other requests a second come for {span_s:g} s, and one resets'
-    ' each {rest_s:g} s'
+    '{per_s:g} other requests a second are sent for {span_s:g} s, and a'
+    ' runner resets its connections every {interval_s:g} s'
 )
-def resets(context, per_s, span_s, rest_s):
-    _others_while(context, _reset, per_s, span_s, rest_s)
+def resets(context, per_s, span_s, interval_s):
+    _send_others_while(context, _reset, per_s, span_s, interval_s)
 
 
-@then('no crash has been counted')
-def check_uncounted(context):
+@then('no crash has been recorded')
+def check_unrecorded(context):
     for app in context.play.world.processes.values():
         assert not app.metrics.counts['quarantine.crashes'], app.name
     assert any(
@@ -193,7 +194,7 @@
     )
 
 
-@when('a request has met one crash, and comes again after {later_s:g} s')
+@when('a request has seen one crash, and is sent again after {later_s:g} s')
 def one_crash(context, later_s):
     async def script(play):
         body = b'innocent'
@@ -202,9 +203,9 @@
             await trio.sleep(0.1)
             (runner,) = [r for r in play.runners.values() if r.is_busy]
             runner.crash()
-            play.world.nursery.start_soon(play.back, runner)
+            play.world.nursery.start_soon(play.restart, runner)
 
-        # Its second try has no time left, so that no good end clears it.
+        # No time is left for a retry, so that no success clears it.
         async with trio.open_nursery() as nursery:
             nursery.start_soon(crash)
             await play.ask('e1', body, 250)
@@ -216,22 +217,22 @@
 
 
 @when(
-    '{count:d} requests are held back, and {freed:d} of them released, in a'
-    ' log'
+    '{count:d} requests are quarantined, and {released:d} of them released, in'
+    ' a log'
 )
-def hold_many(context, count, freed):
+def quarantine_many(context, count, released):
     context.machine = statemachine.StateMachine()
     context.digests = [b'%016d' % number for number in range(count)]
     for index, digest in enumerate(context.digests):
         command = commands.HoldRequest(digest, 2, float(index))
         context.machine.apply(index + 1, command)
-    for number in range(freed):
+    for number in range(released):
         digest = context.digests[-1 - number]
         command = commands.ReleaseRequest(digest, False, 0.0)
         context.machine.apply(count + 1 + number, command)
 
 
-@then('{count:d} are kept, the latest ones, and a snapshot gives the same')
+@then('the latest {count:d} are kept, and a snapshot restores them')
 def check_snapshot(context, count):
     machine = context.machine
     assert len(machine.quarantine) == count
@@ -242,19 +243,22 @@
     assert list(again.quarantine) == list(machine.quarantine)
 
 
-@when('a killer is held back and comes each {rest_s:g} s for {span_s:g} s')
-def held_for_long(context, rest_s, span_s):
+@when(
+    'a crashing request is quarantined and sent every {interval_s:g} s for'
+    ' {span_s:g} s'
+)
+def quarantined_for_long(context, interval_s, span_s):
     async def script(play):
-        await _until_held(play)
-        for number in range(round(span_s / rest_s)):
-            await play.ask(play.world.entries[number % 3], KILLER)
-            await trio.sleep(rest_s)
+        await _until_quarantined(play)
+        for number in range(round(span_s / interval_s)):
+            await play.ask(play.world.entries[number % 3], CRASHING)
+            await trio.sleep(interval_s)
 
     crashes.play(context, script, **context.sizes)
 
 
 def _suspect(play, body):
-    """Let the first gateway see three crashes that others have caused."""
+    """Record three crashes with other causes at the first gateway."""
     first = play.world.parts['e1'].forwarder
     request = httpserver.Request(b'POST', b'/1', [crashes.KEY], body)
     digest = first.quarantine.digest(request, None, None)
@@ -265,13 +269,13 @@
     return first.crashes.on_crash
 
 
-@when('a request is held back for crashes of others, and has ended well since')
-def ended_well(context):
+@when('a request is quarantined for other crashes, and has succeeded since')
+def succeeded(context):
     async def script(play):
-        tell = _suspect(play, b'innocent')
-        # At a gateway that has seen none of the crashes.
+        report = _suspect(play, b'innocent')
+        # Through a gateway that has seen none of the crashes.
         assert await play.ask('e2', b'innocent') == 0
-        await tell()
+        await report()
         await trio.sleep(1)
         context.codes = [await play.ask(name, b'innocent')
                          for name in play.world.entries]  # fmt: skip
@@ -280,41 +284,44 @@
 
 
 @when(
-    'a request is held back for crashes of others, and is tried {later_s:g} s'
+    'a request is quarantined for other crashes, and is sent {later_s:g} s'
     ' later'
 )
-def tried_later(context, later_s):
+def sent_later(context, later_s):
     async def script(play):
         await _suspect(play, b'innocent')()
-        assert await play.ask('e2', b'innocent') == HELD
+        assert await play.ask('e2', b'innocent') == QUARANTINED
         await trio.sleep(later_s)
         context.code = await play.ask('e2', b'innocent')
         await trio.sleep(1)
-        context.known = await play.world.parts['e3'].read_quarantine()
+        context.records = await play.world.parts['e3'].read_quarantine()
 
     crashes.play(context, script, **context.sizes)
 
 
-@then('it is served, and nothing is known of it any more')
+@then('it is served, and no entry of it remains')
 def check_forgotten(context):
     assert context.code == 0, context.code
-    assert context.known == [], context.known
+    assert context.records == [], context.records
 
 
 @then('it is served everywhere within 1 s')
-def check_free(context):
+def check_served(context):
     assert context.codes == [0, 0, 0], context.codes
 
 
-@given('a rank that crashed under a request which had shown {count:d} events')
+@given(
+    'a rank that crashed while running a request that had returned {count:d}'
+    ' events'
+)
 def crashed_rank(context, count):
     known = quarantine.Quarantine()
     known.update([quarantines.Held(b'other', True, 2, 1, 0.0)])
     app = types.SimpleNamespace(
         now_s=lambda: 1.0, metrics=metrics.Metrics(None)
     )
-    words = rests.Rests()
-    context.watch = crashwatch.CrashWatch(app, known, words, lambda _: True)
+    backoffs = rests.Rests()
+    context.watch = crashwatch.CrashWatch(app, known, backoffs, lambda _: True)
     request = httpserver.Request(b'POST', b'/1', [], b'body')
     exchange = routedexchanges.Exchange(request, None, 0.0)
     exchange.call = dialects.read_call(request, dialects.NATIVE.headers)
@@ -335,16 +342,16 @@
     context.exchange = exchange
 
 
-@then('it {may} be tried again')
-def check_again(context, may):
+@then('it {may} be retried')
+def check_retry(context, may):
     again = context.watch.may_retry(context.exchange, 1.0)
     assert again == (may == 'may'), again
 
 
-@when('a killer is held back, and an operator releases it')
+@when('a crashing request is quarantined, and an operator releases it')
 def release(context):
     async def script(play):
-        await _until_held(play)
+        await _until_quarantined(play)
         entry = play.world.parts['e2']
         context.calls = entryapi.handlers(entry, entryapi.NATIVE).control
         context.listed = (await _call(context, b'GET', b''))['quarantine']
@@ -355,8 +362,8 @@
             for other in (target, b'00/release', b'zz/release')
         ]
         await trio.sleep(1)
-        context.before = len(play.crashes(KILLER))
-        await play.ask('e1', KILLER)
+        context.before = len(play.crashes(CRASHING))
+        await play.ask('e1', CRASHING)
 
     crashes.play(context, script, **context.sizes)
 
@@ -369,17 +376,19 @@
     return json.loads(responder.body)
 
 
-@then('it was listed, it reaches runners again, and no other digest is taken')
+@then(
+    'it was listed, it reaches runners again, and no other digest is accepted'
+)
 def check_released(context):
     (listed,) = context.listed
     assert listed['is_held'] and listed['crashes'] == 2, listed
     assert context.left == [], context.left
     bad, unknown = errors.BadRequest.code, errors.NotHeldBack.code
     assert context.wrong == [unknown, bad, bad], context.wrong
-    assert len(context.play.crashes(KILLER)) > context.before
+    assert len(context.play.crashes(CRASHING)) > context.before
 
 
-@then('the digest of a request with another {part} is another one')
+@then('the digest of a request with another {part} is different')
 def check_parts(context, part):
     given_parts = {
         'method': b'POST', 'target': b'/1', 'caller': b'me', 'body': b'all'
@@ -387,28 +396,28 @@
     other = given_parts | {part: given_parts[part] + b'x'}
     context.one = quarantines.digest(b'k', **given_parts)
     assert quarantines.digest(b'k', **other) != context.one
-    # What moves from one part to the next is another request too.
+    # Bytes that move from one part to the next change the digest too.
     moved = given_parts | {'target': b'/1m', 'caller': b'e'}
     assert quarantines.digest(b'k', **moved) != context.one
     context.keyed = quarantines.digest(b'other', **given_parts)
 
 
-@then('it tells no byte of the request, and is another one under another key')
+@then('it has a fixed size, and differs under another key')
 def check_keyed(context):
     assert len(context.one) == quarantines.DIGEST_BYTES
     assert context.keyed != context.one
 
 
-@given('a real address that {sign}')
-def address(context, sign):
+@given('a real address that {behaviour}')
+def address(context, behaviour):
     made = socket.socket()
     made.bind(('127.0.0.1', 0))
-    if sign != 'refuses the next':
+    if behaviour != 'refuses connections':
         made.listen(0)
     context.address = '127.0.0.1:%d' % made.getsockname()[1]
     context.fillers = []
-    if sign == 'answers no packet':
-        # With a full queue of connections the next packet is dropped.
+    if behaviour == 'answers no packet':
+        # While the accept queue is full, further packets are dropped.
         for _ in range(4):
             filler = socket.socket()
             filler.setblocking(False)
@@ -417,64 +426,65 @@
     context.add_cleanup(made.close)
 
 
-@then('it is {told} as one that refuses connections')
-def check_told_refused(context, told):
+@then('it is {reported} as one that refuses connections')
+def check_refused_address(context, reported):
     async def ask():
         pool = lasthop.Pool(dialects.NATIVE.headers, trio.current_time)
         return await pool.refuses_connections(context.address)
 
-    assert trio.run(ask) == (told == 'told')
+    assert trio.run(ask) == (reported == 'reported')
     for filler in context.fillers:
         filler.close()
 
 
-@when('{count:d} requests are suspect, and {good:d} end well')
+@when('{count:d} requests are suspect, and {good:d} succeed')
 def many(context, count, good):
-    context.known = quarantine.Quarantine()
+    context.records = quarantine.Quarantine()
     runner = instances.Instance('i', 's', '', '', '', 1, instances.READY)
     for number in range(count):
-        context.known.record_crash(b's%d' % number, runner, 1.0)
+        context.records.record_crash(b's%d' % number, runner, 1.0)
     for number in range(good):
-        context.known.record_success(b'g%d' % number, 2.0)
+        context.records.record_success(b'g%d' % number, 2.0)
     context.last = b's%d' % (count - 1)
 
 
-@then(
-    'no more than {suspects:d} and {good:d} of them are kept, the latest ones'
-)
+@then('the latest {suspects:d} and {good:d} of them are kept')
 def check_bounds(context, suspects, good):
-    known = context.known
+    known = context.records
     assert len(known._crashes) == suspects and len(known._success_at_s) == good
-    context.told = report = known.make_report(3.0)
+    context.report = report = known.make_report(3.0)
     assert len(report.crashes) == quarantine.MAX_REPORTED
     assert report.crashes[-1].digest == context.last
 
 
 @then(
-    'they are told for {told_s:g} s, {most:d} at a time, and count for {s:g} s'
+    'they are reported for {reported_s:g} s, {most:d} at a time, and count for'
+    ' {counted_s:g} s'
 )
-def check_told_for(context, told_s, most, s):
-    known = context.known
-    assert len(context.told.crashes) == most
-    assert known.make_report(0.9 + told_s) is not None
-    assert known.make_report(1.1 + told_s) is None
+def check_reported_for(context, reported_s, most, counted_s):
+    known = context.records
+    assert len(context.report.crashes) == most
+    assert known.make_report(0.9 + reported_s) is not None
+    assert known.make_report(1.1 + reported_s) is None
     runner = instances.Instance('j', 's', '', '', '', 1, instances.READY)
-    known.record_crash(context.last, runner, 0.9 + s)
-    assert known.is_quarantined(context.last, 0.9 + s)
-    assert not known.is_quarantined(context.last, 1.1 + s)
+    known.record_crash(context.last, runner, 0.9 + counted_s)
+    assert known.is_quarantined(context.last, 0.9 + counted_s)
+    assert not known.is_quarantined(context.last, 1.1 + counted_s)
 
 
-@given('an entry that answers commands and knows two requests')
+@given('an entry with two quarantine entries')
 def entry_of_commands(context):
     listed = [
         quarantines.Held(b'1' * 16, True, 2, 1, 0.0),
         quarantines.Held(b'2' * 16, False, 5, 2, 0.0),
     ]
-    told = [each._asdict() | {'digest': each.digest.hex()} for each in listed]
+    entries = [
+        each._asdict() | {'digest': each.digest.hex()} for each in listed
+    ]
 
     def call_entry(address, method, target, body):
-        context.asked = f'{method.decode()} {target.decode()}'
-        return json.dumps({'quarantine': told}).encode()
+        context.received = f'{method.decode()} {target.decode()}'
+        return json.dumps({'quarantine': entries}).encode()
 
     context.add_cleanup(setattr, clitools, 'call_entry', clitools.call_entry)
     clitools.call_entry = call_entry
@@ -487,10 +497,10 @@
     )
 
 
-@then('it has been asked for {asked}, and shows {shown}')
-def check_command(context, asked, shown):
+@then('it has received {received}, and shows {shown}')
+def check_command(context, received, shown):
     assert context.shown.exit_code == 0, context.shown.output
-    assert context.asked == asked, context.asked
+    assert context.received == received, context.received
     assert shown in ' '.join(
         context.shown.output.split()
     ), context.shown.output
--- a/features/worlds/crashes.py
+++ b/features/worlds/crashes.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Entries and controllers before runners that requests crash.
+"""Entries and controllers with simulated runners that requests crash.
 
-The daemons are real, over a scripted network and on virtual time; the
-connections to runners are not. A request whose body begins with "kill" ends
-the life of each runner that begins to run it, and all that runs there breaks.
+The processes are real, on a simulated network and virtual time; connections to
+runners are simulated. A request whose body starts with "crash" crashes each
+runner that starts to run it, and with it all requests that run there.
 """
 
 import contextlib
@@ -22,9 +22,9 @@
 __all__ = ['Play', 'play']
 
 KEY = (b'Host', b'a.example')
-WAY_S, WORK_S = 0.005, 0.3
-#: A runner that has crashed is back after this long, as another life.
-BACK_S = 3.0
+LATENCY_S, RUN_S = 0.005, 0.3
+#: Time until a crashed runner is back, as a new incarnation.
+RESTART_S = 3.0
 
 
 def _document(experts):
@@ -39,10 +39,10 @@
 
 
 class Runner:
-    """One address, and the life of a runner that is there now."""
+    """An address, and the current incarnation of the runner there."""
 
     def __init__(self, number):
-        self.number, self.life = number, 0
+        self.number, self.incarnation = number, 0
         self.address = f'10.0.0.{number}:1'
         self.is_down = False
         self.ended = trio.Event()
@@ -50,8 +50,8 @@
 
     def instance(self):
         return instances.Instance(
-            f'i-{self.number}-{self.life}', 's', self.address, 'north', 'v',
-            4, instances.READY,
+            f'i-{self.number}-{self.incarnation}', 's', self.address,
+            'north', 'v', 4, instances.READY,
         )  # fmt: skip
 
     def crash(self):
@@ -59,12 +59,12 @@
         self.ended.set()
 
     def start(self):
-        self.life += 1
+        self.incarnation += 1
         self.is_down, self.ended = False, trio.Event()
 
 
 class _Pool:
-    """Stands in for the connections of one entry."""
+    """Simulates the connections of one entry to runners."""
 
     def __init__(self, play, name):
         self.play, self.name = play, name
@@ -75,13 +75,13 @@
         if runner.is_down:
             raise errors.NoRunner('refused')
         on_send()
-        await trio.sleep(WAY_S)
-        self.play.arrived(self.name, runner, body)
-        if body.startswith(b'kill'):
+        await trio.sleep(LATENCY_S)
+        self.play.record_arrival(self.name, runner, body)
+        if body.startswith(b'crash'):
             runner.crash()
-            self.play.world.nursery.start_soon(self.play.back, runner)
+            self.play.world.nursery.start_soon(self.play.restart, runner)
         ended, runner.is_busy = runner.ended, True
-        with trio.move_on_after(WORK_S):
+        with trio.move_on_after(RUN_S):
             await ended.wait()
         if ended.is_set():
             raise errors.OutcomeUnknown('no answer: reset')
@@ -91,7 +91,7 @@
         )
 
     async def refuses_connections(self, address):
-        await trio.sleep(WAY_S)
+        await trio.sleep(LATENCY_S)
         return self.play.runners[address].is_down
 
     async def evict(self, address):
@@ -99,18 +99,18 @@
 
 
 class Play:
-    """A system, its runners, and what has reached them."""
+    """A system, its runners, and the requests that reached them."""
 
     def __init__(self, world, count):
         self.world = world
         listed = [Runner(number) for number in range(count)]
         self.runners = {runner.address: runner for runner in listed}
-        self.arrivals = []  # (when, entry, life of the runner, body)
-        self.answers = []  # (when, entry, body, status, code, took)
+        self.arrivals = []  # (time, entry, incarnation of the runner, body)
+        self.answers = []  # (time, entry, body, status, code, duration)
 
-    def arrived(self, name, runner, body):
-        life = runner.instance().instance_id
-        self.arrivals.append((trio.current_time(), name, life, body))
+    def record_arrival(self, name, runner, body):
+        incarnation = runner.instance().instance_id
+        self.arrivals.append((trio.current_time(), name, incarnation, body))
 
     def start(self, name):
         self.world.start(name)
@@ -125,18 +125,18 @@
         await trio.sleep(4)
         await self.world.parts['e1'].put_routes(_document(experts))
         for runner in self.runners.values():
-            await self.beat(runner)
-        self.world.nursery.start_soon(self._beats)
+            await self.send_heartbeat(runner)
+        self.world.nursery.start_soon(self._send_heartbeats)
         await trio.sleep(2)
 
-    async def _beats(self):
+    async def _send_heartbeats(self):
         while True:
             for runner in self.runners.values():
                 if not runner.is_down:
-                    await self.beat(runner)
+                    await self.send_heartbeat(runner)
             await trio.sleep(0.5)
 
-    async def beat(self, runner):
+    async def send_heartbeat(self, runner):
         for name in self.world.entries:
             if self.world.processes.get(name) is None:
                 continue
@@ -146,10 +146,10 @@
                 await self.world.parts[name].heartbeat(heartbeat)
                 return
 
-    async def back(self, runner):
-        await trio.sleep(BACK_S)
+    async def restart(self, runner):
+        await trio.sleep(RESTART_S)
         runner.start()
-        await self.beat(runner)
+        await self.send_heartbeat(runner)
 
     async def ask(self, name, body, deadline_ms=3000):
         begun_s = trio.current_time()
@@ -162,20 +162,20 @@
         responder = answers.Responder()
         await self.world.parts[name].forwarder.handle(request, responder)
         now_s = trio.current_time()
-        is_own = responder.status != 200
-        told = json.loads(responder.body) if is_own else {}
-        code = told['error']['code'] if is_own else 0
+        is_error = responder.status != 200
+        error_body = json.loads(responder.body) if is_error else {}
+        code = error_body['error']['code'] if is_error else 0
         self.answers.append(
             (now_s, name, body, responder.status, code, now_s - begun_s)
         )
         return code
 
     def crashes(self, body):
-        """Return when lives of runners ended by a request, in order."""
+        """Return the times of the crashes that a request caused, in order."""
         return [at_s for at_s, _, _, found in self.arrivals if found == body]
 
     async def lose_power(self):
-        """Kill all processes; they come back with their disks."""
+        """Kill all processes, and restart them with their disks."""
         names = list(self.world.processes)
         for name in names:
             self.world.kill(name)
@@ -189,7 +189,7 @@
 
 
 def play(context, script, count=6, experts=0):
-    """Run ``script(play)`` on a system; what it saw is in the context."""
+    """Run ``script(play)`` on a system; keep the play in the context."""
 
     async def run(world):
         context.play = Play(world, count)
