--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -19,7 +19,7 @@
 from mountridge.routing import routedexchanges
 from mountridge.state import commands, statemachine
 
-CRASHING = b'crash all'
+CRASHING = b'kill all'
 QUARANTINED = errors.RequestHeldBack.code
 
 
--- a/features/worlds/crashes.py
+++ b/features/worlds/crashes.py
@@ -3,7 +3,7 @@
 """Entries and controllers with simulated runners that requests crash.
 
 The processes are real, on a simulated network and virtual time; connections to
-runners are simulated. A request whose body starts with "crash" crashes each
+runners are simulated. A request whose body starts with "kill" crashes each
 runner that starts to run it, and with it all requests that run there.
 """
 
@@ -77,7 +77,7 @@
         on_send()
         await trio.sleep(LATENCY_S)
         self.play.record_arrival(self.name, runner, body)
-        if body.startswith(b'crash'):
+        if body.startswith(b'kill'):
             runner.crash()
             self.play.world.nursery.start_soon(self.play.restart, runner)
         ended, runner.is_busy = runner.ended, True
