--- a/features/steps/closedgroups_steps.py
+++ b/features/steps/closedgroups_steps.py
@@ -207,19 +207,19 @@
         self.requests += 1
         now_s = trio.current_time()
         exchange = types.SimpleNamespace(
-            service='s', tried=set(), begun_s=now_s, until_s=now_s + 8.0
+            service='s', attempted=set(), begun_s=now_s, deadline_s=now_s + 8.0
         )
         while not await self.is_accepted(gateway, exchange):
             self.refused[gateway] += 1
         self.served += 1
-        self.most_attempts = max(self.most_attempts, len(exchange.tried))
+        self.most_attempts = max(self.most_attempts, len(exchange.attempted))
 
     async def is_accepted(self, gateway, exchange):
         known = self.known[gateway]
         picked = await self.pickers[gateway].pick(exchange)
         backend = picked.backend
         number = int(backend.instance.instance_id[2:])
-        exchange.tried.add(backend.instance.instance_id)
+        exchange.attempted.add(backend.instance.instance_id)
         backend.request_started(trio.current_time())
         is_open = trio.current_time() >= self.opens_s
         is_replaced = self.is_outdated and number < FIRST_NEW_RANK
--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -53,9 +53,11 @@
         self.play.sent.append((now_s, self.name, hall))
         await trio.sleep(0.01)
         head = dialects.ReplyHead(200, None, False, None, None, None)
-        yield types.SimpleNamespace(head=head, headers=[], whole=answers.whole)
+        yield types.SimpleNamespace(
+            head=head, headers=[], read_body=answers.whole
+        )
 
-    async def forget(self, address):
+    async def evict(self, address):
         pass
 
 
@@ -553,7 +555,7 @@
 @when('the hall {name} is to be taken out and the settings name {known}')
 def take_out(context, name, known):
     if known != 'none':
-        context.orders.follow_settings({'halls': known.split(', ')})
+        context.orders.update_settings({'halls': known.split(', ')})
     _set(context, name)
 
 
@@ -567,10 +569,10 @@
 
 @when('the settings name {known}, and after a reload {more} too')
 def reload_settings(context, known, more):
-    context.orders.follow_settings({'halls': [known]})
+    context.orders.update_settings({'halls': [known]})
     _set(context, more)
     assert context.problem.code == errors.UnknownHall.code
-    context.orders.follow_settings({'halls': [known, more]})
+    context.orders.update_settings({'halls': [known, more]})
     context.name = more
 
 
--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -157,20 +157,21 @@
                 return
             except errors.MountridgeError as problem:
                 self.codes[problem.code] += 1
-                default_s = forwarding.COME_BACK_S[type(problem)]
+                default_s = forwarding.RETRY_AFTER_S[type(problem)]
                 retry_s = problem.retry_after_s or default_s
             await trio.sleep(min(retry_s, (until_s - self.now_s()) / 3))
 
     async def send(self, name, number, until_s):
         exchange = types.SimpleNamespace(
-            service='s', tried=set(), begun_s=self.now_s(), until_s=until_s,
+            service='s', attempted=set(), begun_s=self.now_s(),
+            deadline_s=until_s,
             team=None, route=types.SimpleNamespace(priority=1),
         )  # fmt: skip
         known = self.known[name]
         for _ in range(MAX_ATTEMPTS):
             picked = await self.pickers[name].pick(exchange)
             backend = picked.backend
-            exchange.tried.add(backend.instance.instance_id)
+            exchange.attempted.add(backend.instance.instance_id)
             send = known.request_started(backend, self.now_s())
             try:
                 if await self.is_accepted(known, backend, send, number):
@@ -547,7 +548,8 @@
     def exchange(self, priority=1, tried=()):
         now_s = trio.current_time()
         return types.SimpleNamespace(
-            service='s', tried=set(tried), begun_s=now_s, until_s=now_s + 8,
+            service='s', attempted=set(tried), begun_s=now_s,
+            deadline_s=now_s + 8,
             team=None, route=types.SimpleNamespace(priority=priority),
         )  # fmt: skip
 
--- a/features/worlds/rests.py
+++ b/features/worlds/rests.py
@@ -112,7 +112,7 @@
         headers = [(NAMES.request_id, request_id.encode()), *answer.headers]
         head = dialects.read_reply(answer.status, headers, NAMES)
         yield types.SimpleNamespace(
-            head=head, headers=headers, whole=answers.whole
+            head=head, headers=headers, read_body=answers.whole
         )
 
 
@@ -158,7 +158,7 @@
         """Advance real time without any timer."""
         self.suspended_s += span_s
         for gateway in self.gateways.values() if is_noticed else ():
-            gateway.end_late(self.now_s())
+            gateway.cancel_overdue(self.now_s())
 
     def put_runner(self, runner: Runner) -> None:
         """Put a runner, or a later incarnation of one, at its address."""
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -84,13 +84,15 @@
             self.backends,
             lambda: len(self.gateways()),
         )
-        app.on_gap.append(lambda gap_s: self.forwarder.end_late(app.now_s()))
+        app.on_gap.append(
+            lambda gap_s: self.forwarder.cancel_overdue(app.now_s())
+        )
         self.hall_orders = hallorders.HallOrders(app, self.leader.call)
-        self.crash_reports = crashreports.CrashReports(
+        self.crash_reporter = crashreports.CrashReporter(
             app, self.forwarder.quarantine, self.leader.call
         )
-        self.forwarder.crashes.on_crash = self.crash_reports.tell
-        self.forwarder.crashes.on_good = self.crash_reports.nudge
+        self.forwarder.crashes.on_crash = self.crash_reporter.report_now
+        self.forwarder.crashes.on_success = self.crash_reporter.wake
         self.draining = False
         self._drain_began_s = 0.0
         self.front = self.make_server(self.forwarder.handle)
@@ -173,7 +175,7 @@
             {m.name: m.hall for m in gateways}, self.app.now_s()
         )
         for address in self.backends.update_runners(registered):
-            self.app.start_task(self.forwarder.pool.forget, address)
+            self.app.start_task(self.forwarder.pool.evict, address)
         self._tell_cold(registered)
 
     def _tell_cold(self, registered: list[instances.Instance]) -> None:
@@ -212,7 +214,7 @@
     def _follow_quarantine(self) -> None:
         packed = self.held.view.under(views.QUARANTINE_PREFIX).values()
         listed = [views.unpack_held(value) for value in packed]
-        self.crash_reports.follow(listed)
+        self.crash_reporter.update(listed)
 
     def _follow_routes(self) -> None:
         held = views.routes_in(self.held.view)
@@ -299,7 +301,9 @@
         leave = messages.Leave(instance_id, born_ms, lives)
         await self.leader.call(leave, HEARTBEAT_S)
 
-    def malformed(self, raw_id: bytes, problem: errors.BadHeartbeat) -> None:
+    def record_malformed(
+        self, raw_id: bytes, problem: errors.BadHeartbeat
+    ) -> None:
         """Count and log a word of a runner that can't be read."""
         self.app.metrics.incr(f'runner.malformed.{problem.cause}')
         logger.info(
@@ -321,7 +325,7 @@
 
         :raises NoController: it can't be told.
         """
-        return await self.crash_reports.read()
+        return await self.crash_reporter.read()
 
     async def release(self, digest: bytes) -> list[quarantines.Held]:
         """Hold a request back no more; return what else is held.
@@ -329,7 +333,7 @@
         :raises NoController: it may have been carried out, or not.
         :raises NotHeldBack: it is not known.
         """
-        return await self.crash_reports.release(digest)
+        return await self.crash_reporter.release(digest)
 
     async def set_hall(self, name: str, is_out: bool) -> halls.HallState:
         """Take a hall out of service, or put it back.
@@ -344,7 +348,7 @@
     def follow_settings(self, settings: dict) -> None:
         """Take what newer settings may change in a running process."""
         self.leader.follow_seeds(settings)
-        self.hall_orders.follow_settings(settings)
+        self.hall_orders.update_settings(settings)
 
     # Life.
 
@@ -447,7 +451,7 @@
     for kind in FOR_LEADER:
         app.handlers[kind] = entry.refer
     app.handlers[messages.Controllers] = entry.learn
-    app.tasks += [entry.hold_lease, entry.crash_reports.run]
+    app.tasks += [entry.hold_lease, entry.crash_reporter.run]
     app.dumpers['entry'] = entry.dump
     app.drain.append(entry.begin_drain)
     if app.settings['controller']['data']:
@@ -492,7 +496,7 @@
     settings: dict,
     path: str,
     dialect: dialects.Dialect = dialects.NATIVE,
-    spelling: entryapi.Spelling = entryapi.NATIVE,
+    spelling: entryapi.WireNames = entryapi.NATIVE,
     connect: Connect = engines.connect_to,
     early: socket.socket | None = None,
 ) -> None:
--- a/mountridge/groups/engines.py
+++ b/mountridge/groups/engines.py
@@ -62,7 +62,7 @@
             async with self._pool.request(
                 self._address, method, target, headers, body, None
             ) as reply:
-                return reply.head, await reply.whole()
+                return reply.head, await reply.read_body()
         raise errors.OutcomeUnknown('engine did not respond in time')
 
     async def read(
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -115,16 +115,16 @@
         now_s = self._app.now_s()
         queue = self._queues[exchange.service]
         picked = None
-        if exchange.tried or not len(queue):
+        if exchange.attempted or not len(queue):
             picked = self._choose(exchange, now_s)
         if picked is not None:
             self._unowned_since_s.pop(exchange.service, None)
             return picked
         self._app.metrics.incr('cold.waited')
-        if exchange.tried:
+        if exchange.attempted:
             # `GROUP_WAIT_S` limits the time to a first event; a stream that
             # is resumed has shown some, and may wait a whole window.
-            left_s = exchange.until_s - now_s
+            left_s = exchange.deadline_s - now_s
             until_s = now_s + min(warmup.WINDOW_S, WAIT_FRACTION * left_s)
             return await self._wait_for_quota(exchange, None, until_s)
         waiter = queue.join(_priority(exchange))
@@ -145,7 +145,7 @@
             now_s = self._app.now_s()
             ahead = queue.count_ahead(waiter) if waiter else 0
             send_s = self.known.earliest_send_s(
-                exchange.service, exchange.tried, ahead, now_s
+                exchange.service, exchange.attempted, ahead, now_s
             )
             if send_s != warmup.NEVER and send_s > until_s:
                 raise self._cold_error(exchange, ahead, send_s - now_s)
@@ -189,7 +189,7 @@
     def _next_free_s(self, exchange: Exchange, now_s: float) -> float:
         return self.known.next_free_s(
             exchange.service,
-            exchange.tried,
+            exchange.attempted,
             self._was_refused(exchange),
             now_s,
         )
@@ -209,7 +209,7 @@
         wait_s = RUNNER_WAIT_S
         if self._runners(exchange):
             wait_s = exchange.begun_s + GROUP_WAIT_S - now_s
-        return min(wait_s, WAIT_FRACTION * (exchange.until_s - now_s))
+        return min(wait_s, WAIT_FRACTION * (exchange.deadline_s - now_s))
 
     def _is_worth_waiting(self, exchange: Exchange, until_s: float) -> bool:
         """Return whether a runner may register or a group open soon.
@@ -265,7 +265,7 @@
         """Return when the first runner that backs off may get the request."""
         return self.known.backoff_over_s(
             exchange.service,
-            exchange.tried,
+            exchange.attempted,
             self._was_refused(exchange),
             self._app.now_s(),
         )
@@ -299,7 +299,7 @@
         return self.known.pick(
             exchange.service,
             self._app.settings['hall'],
-            exchange.tried,
+            exchange.attempted,
             self._gateways(),
             self._rng,
             now_s,
@@ -308,7 +308,7 @@
 
     def _was_refused(self, exchange: Exchange) -> bool:
         """Return whether a rank has refused this request or failed."""
-        return bool(exchange.tried) and self.has_ranks(exchange.service)
+        return bool(exchange.attempted) and self.has_ranks(exchange.service)
 
     def has_ranks(self, service_name: str) -> bool:
         """Return whether a service's runners form expert-parallel groups."""
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -526,11 +526,11 @@
     Mutant(
         'last hop: abandoned requests left to be read', 'lasthop',
         'connection.reset_on_close()', 'pass', 'forwarding',
-        'A caller that leaves',
+        'A caller that disconnects',
     ),
     Mutant(
         'routes: tries that met another runner count', 'forwarding',
-        'exchange.misdirected += 1', 'pass', 'forwarding',
+        'exchange.misdirected_attempts += 1', 'pass', 'forwarding',
         'do not use up',
     ),
     Mutant(
@@ -570,7 +570,7 @@
     Mutant(
         'forwarding: no wait for the first routes', 'forwarding',
         'with trio.move_on_after(ROUTES_WAIT_S):',
-        'with trio.move_on_after(0):', 'forwarding', 'knows no routes',
+        'with trio.move_on_after(0):', 'forwarding', 'has no routes',
     ),
     Mutant(
         'picking: a closed group is not waited for', 'picking',
@@ -626,7 +626,7 @@
     ),
     Mutant(
         'rests: what was not sent uses up a try', 'forwarding',
-        'exchange.unsent += is_unsent', 'pass', 'rests',
+        'exchange.unsent_attempts += is_unsent', 'pass', 'rests',
     ),
     Mutant(
         'rests: all come at once when one is over', 'backoffstates',
@@ -641,7 +641,7 @@
     ),
     Mutant(
         'rests: one closes its group', 'forwarding',
-        'self.picker.has_ranks(exchange.service) and not is_own_word',
+        'self.picker.has_ranks(exchange.service) and not is_backoff',
         'self.picker.has_ranks(exchange.service)', 'rests',
     ),
     Mutant(
@@ -705,16 +705,16 @@
     ),
     Mutant(
         'quarantine: nothing is held back', 'routefilters',
-        'if known.is_held(digest, now_s):', 'if False:', 'quarantine',
+        'if known.is_quarantined(digest, now_s):', 'if False:', 'quarantine',
     ),
     Mutant(
         'quarantine: no crash is counted', 'crashwatch',
-        'self._quarantine.crashed(digest, runner, now_s)', 'pass',
+        'self._quarantine.record_crash(digest, runner, now_s)', 'pass',
         'quarantine',
     ),
     Mutant(
         'quarantine: each broken connection is a crash', 'crashwatch',
-        'if not await pool.is_refused(runner.address):', 'if False:',
+        'if not await pool.refuses_connections(runner.address):', 'if False:',
         'quarantine',
     ),
     Mutant(
@@ -723,7 +723,7 @@
     ),
     Mutant(
         'quarantine: the own count does not hold', 'quarantine',
-        'return len(fresh) >= quarantines.HOLD_AT', 'return False',
+        'return len(recent) >= quarantines.HOLD_AT', 'return False',
         'quarantine',
     ),
     Mutant(
@@ -733,7 +733,7 @@
     ),
     Mutant(
         'quarantine: streams that have run on are suspects', 'crashwatch',
-        'exchange.is_suspect = exchange.events_sent == exchange.events_at_try',
+        'exchange.is_suspect = exchange.events_sent == exchange.events_before',
         'exchange.is_suspect = True', 'quarantine',
     ),
     Mutant(
@@ -742,11 +742,12 @@
     ),
     Mutant(
         'quarantine: suspects are told for as long as they count',
-        'quarantine', 'if now_s - at_s < TELL_FOR_S', 'if True', 'quarantine',
+        'quarantine', 'if now_s - at_s < REPORT_FOR_S', 'if True',
+        'quarantine',
     ),
     Mutant(
         'quarantine: a good end is not told', 'entry',
-        'self.forwarder.crashes.on_good = self.crash_reports.nudge', 'pass',
+        'self.forwarder.crashes.on_success = self.crash_reporter.wake', 'pass',
         'quarantine',
     ),
     Mutant(
@@ -765,7 +766,8 @@
     ),
     Mutant(
         'quarantine: a good end elsewhere clears nothing', 'quarantine',
-        'self._cleared[digest] = self._good_s[digest]', 'pass', 'quarantine',
+        'self._unreported[digest] = self._success_at_s[digest]', 'pass',
+        'quarantine',
     ),
     Mutant(
         'quarantine: the caller is not part of a request', 'quarantines',
@@ -783,7 +785,8 @@
     ),
     Mutant(
         'last hop: how long connections are kept is not heard', 'lasthop',
-        'if told_s is not None:', 'if False:', 'lives', 'idle connections',
+        'if announced_s is not None:', 'if False:',
+        'lives', 'idle connections',
     ),
     Mutant(
         'forwarding: what ran is called not run', 'forwarding',
@@ -953,8 +956,8 @@
     ),
     Mutant(
         'lives: connections in use are kept', 'lasthop',
-        'leads_there = connection.opened_s > forgotten_s',
-        'leads_there = True', 'lives',
+        'is_current = connection.opened_s > evicted_s',
+        'is_current = True', 'lives',
     ),
     Mutant(
         'lives: nested bodies end the connection', 'instances',
@@ -1144,7 +1147,7 @@
     ),
     Mutant(
         'halls: an order of any age is sent', 'hallorders',
-        '''            if self.app.now_s() - read_s >= FRESH_S:
+        '''            if self.app.now_s() - received_s >= MAX_ORDER_AGE_S:
                 raise errors.NoController''',
         '''            if False:
                 raise errors.NoController''',
@@ -1205,7 +1208,7 @@
     ),
     Mutant(
         'forwarding: what is under way is called not run', 'forwarding',
-        'if exchange.may_have_run or exchange.is_under_way:',
+        'if exchange.may_have_run or exchange.is_in_flight:',
         'if exchange.may_have_run:', 'forwarding', 'never answers',
     ),
     Mutant(
@@ -1217,7 +1220,7 @@
         'last hop: cut answers look whole', 'lasthop',
         'as problem:\n            raise errors.BadAnswer(str(problem))\n'
         '        except trio', 'as problem:\n            return\n'
-        '        except trio', 'forwarding', 'breaks off',
+        '        except trio', 'forwarding', 'truncates',
     ),
     Mutant(
         'budgets: no bound', 'budgets',
