--- a/mountridge/documents/__init__.py
+++ b/mountridge/documents/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What operators write and runners say: checked records, no I/O."""
+"""Validated records of operators' input and runners' registrations; no I/O."""
--- a/mountridge/routing/hallorders.py
+++ b/mountridge/routing/hallorders.py
@@ -123,4 +123,4 @@
     for state in listed:
         if state.name == name:
             return state
-    return halls.never_out(name)
+    return halls.default_state(name)
--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -325,7 +325,7 @@
 
     :raises HallChanged: another order came between.
     """
-    known = machine.halls.get(command.hall, halls.never_out(command.hall))
+    known = machine.halls.get(command.hall, halls.default_state(command.hall))
     if known.is_out == command.is_out:
         return known
     if known.revision != command.revision:
