--- a/mountridge/documents/instances.py
+++ b/mountridge/documents/instances.py
@@ -16,7 +16,7 @@
 
 __all__ = [
     'DRAINING', 'Instance', 'LEFT', 'READY', 'check', 'check_id',
-    'check_start', 'read', 'read_id', 'wrong_id',
+    'check_start', 'decode', 'read_id', 'wrong_id',
 ]  # fmt: skip
 
 #: States of a registration. LEFT is one that is over, by its own word, by
@@ -64,7 +64,7 @@
     may_return: bool = False
 
 
-def read(
+def decode(
     decoder: msgspec.json.Decoder, body: bytes, what: str = 'heartbeat'
 ) -> typing.Any:
     """Return what a body says, in the form that ``decoder`` takes.
--- a/mountridge/routing/entryapi.py
+++ b/mountridge/routing/entryapi.py
@@ -105,7 +105,7 @@
 
     :raises BadHeartbeat: it can't be read.
     """
-    given = instances.read(_HEARTBEAT, body)
+    given = instances.decode(_HEARTBEAT, body)
     instance = instances.Instance(
         instance_id,
         given.service,
@@ -125,7 +125,7 @@
 
     :raises BadHeartbeat: it can't be read.
     """
-    given = instances.read(_LEAVE, body) if body else LeaveBody()
+    given = instances.decode(_LEAVE, body) if body else LeaveBody()
     return instances.check_start(given.born_ms)
 
 
