--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -625,7 +625,7 @@
         @_check_many(600, strategies.binary(max_size=4), _mutated(good))
         def read(raw_id, body):
             try:
-                instance_id = instances.read_id(b'i' + raw_id)
+                instance_id = instances.parse_id(b'i' + raw_id)
                 heartbeat = spelling.read_heartbeat(instance_id, body)
             except errors.BadHeartbeat as problem:
                 assert problem.cause != 'other', problem
--- a/mountridge/documents/instances.py
+++ b/mountridge/documents/instances.py
@@ -16,7 +16,7 @@
 
 __all__ = [
     'DRAINING', 'Instance', 'LEFT', 'READY', 'check', 'check_id',
-    'check_start', 'decode', 'read_id', 'wrong_id',
+    'check_start', 'decode', 'parse_id', 'wrong_id',
 ]  # fmt: skip
 
 #: States of a registration. LEFT is one that is over, by its own word, by
@@ -85,7 +85,7 @@
         raise errors.BadHeartbeat(f'a {what} nested too deep', 'unreadable')
 
 
-def read_id(raw: bytes) -> str:
+def parse_id(raw: bytes) -> str:
     """Return the id of a runner that stands in a path.
 
     :raises BadHeartbeat: it is none.
--- a/mountridge/routing/entryapi.py
+++ b/mountridge/routing/entryapi.py
@@ -247,7 +247,7 @@
     entry: Entry, spelling: Spelling, raw_id: bytes, body: bytes
 ) -> None:
     with _malformed_told(entry, raw_id):
-        instance_id = instances.read_id(raw_id)
+        instance_id = instances.parse_id(raw_id)
         heartbeat = spelling.read_heartbeat(instance_id, body)
     await entry.heartbeat(heartbeat)
 
@@ -256,7 +256,7 @@
     entry: Entry, spelling: Spelling, raw_id: bytes, body: bytes
 ) -> None:
     with _malformed_told(entry, raw_id):
-        instance_id = instances.read_id(raw_id)
+        instance_id = instances.parse_id(raw_id)
         born_ms = spelling.read_leave(body)
     await entry.leave(instance_id, born_ms)
 
