--- a/mountridge/documents/instances.py
+++ b/mountridge/documents/instances.py
@@ -16,7 +16,7 @@
 
 __all__ = [
     'DRAINING', 'Instance', 'LEFT', 'READY', 'check', 'check_id',
-    'check_start', 'decode', 'parse_id', 'wrong_id',
+    'check_start', 'decode', 'parse_id', 'id_error',
 ]  # fmt: skip
 
 #: States of a registration. LEFT is one that is over, by its own word, by
@@ -100,12 +100,12 @@
 
     :raises BadHeartbeat: with the reason.
     """
-    wrong = wrong_id(text)
+    wrong = id_error(text)
     if wrong:
         raise errors.BadHeartbeat(wrong, 'id')
 
 
-def wrong_id(text: str) -> str:
+def id_error(text: str) -> str:
     """Return why a text is no id of a runner; '' where it is one."""
     if not 0 < len(text) <= MOST_ID:
         return f'an id of {len(text)} characters'
--- a/mountridge/groups/engines.py
+++ b/mountridge/groups/engines.py
@@ -106,7 +106,7 @@
 
     :raises BadAnswer: the id is missing or invalid.
     """
-    wrong = instances.wrong_id(head.instance_id or '')
+    wrong = instances.id_error(head.instance_id or '')
     if wrong:
         raise errors.BadAnswer(f'response has no valid runner id: {wrong}')
     return head.instance_id
