--- a/mountridge/documents/instances.py
+++ b/mountridge/documents/instances.py
@@ -1,10 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Registrations of runners, and what a heartbeat must look like.
+"""Registrations of runners and the validation of heartbeats.
 
-A registration is one life of a runner: its id and its start. A later start
-under the same id is another life, which knows nothing of the one before
-(`state/lives.py` says which of two words is newer).
+A registration is one incarnation of a runner, identified by its id and its
+start time. A later start under the same id is another incarnation, without
+any state of the previous one. The `state` package decides which of two
+reports is newer.
 """
 
 import socket
@@ -16,79 +17,79 @@
 
 __all__ = [
     'DRAINING', 'Instance', 'LEFT', 'READY', 'check', 'check_id',
-    'check_start', 'decode', 'parse_id', 'id_error',
+    'check_start', 'decode', 'id_error', 'parse_id',
 ]  # fmt: skip
 
-#: States of a registration. LEFT is one that is over, by its own word, by
-#: silence, or since another runner has its address.
+#: States of a registration. LEFT means that it ended: the runner left, timed
+#: out, or another runner registered at its address.
 READY, DRAINING, LEFT = 'ready', 'draining', 'left'
 
-#: A heartbeat takes about 400 bytes; lists of models may make it longer.
-MOST_BYTES = 64 << 10
-#: Characters of an id, which goes into a header of each request, and of
-#: names, which only stand in tables.
-MOST_ID, MOST_NAME = 128, 256
-#: The largest whole number that every writer of JSON keeps exact.
-MOST_NUMBER = (1 << 53) - 1
-#: More requests at once than any runner works on.
-MOST_SLOTS = 1 << 20
-#: A runner that is cold for longer than an hour has given another unit.
-MOST_COLD_MS = 3_600_000.0
-#: Characters of a malformed text that a log line or an answer shows.
-MOST_SHOWN = 80
+#: Well above a usual heartbeat, to leave room for lists of models.
+MAX_BODY_BYTES = 64 << 10
+#: Characters. The id is sent in a header of each request; names are not.
+MAX_ID_LENGTH, MAX_NAME_LENGTH = 128, 256
+#: The largest integer that all JSON implementations represent exactly.
+MAX_INTEGER = (1 << 53) - 1
+#: Requests that a runner may claim to process concurrently.
+MAX_SLOTS = 1 << 20
+#: One hour; a higher value is most likely given in another unit.
+MAX_COLD_MS = 3_600_000.0
+#: Characters of a malformed value quoted in log lines and responses.
+MAX_QUOTED = 80
 
 
 class Instance(typing.NamedTuple):
-    """One life of a runner, as it registered itself."""
+    """One incarnation of a runner, as registered."""
 
     instance_id: str
     service: str
     address: str  # IP:PORT
     hall: str
     software: str  # version of the runner's program
-    slots: int  # requests that it works on at once
+    slots: int  # requests that it processes concurrently
     state: str
-    #: Unix time of its start; 0 where it does not tell. A later start under
-    #: the same id is another life, which knows nothing of this one.
+    #: Unix time of its start; 0 if not reported. A later start under the
+    #: same id is another incarnation.
     born_ms: int = 0
-    #: Its start is so recent that it bears few requests a second.
+    #: Started so recently that it sustains only a low request rate.
     is_cold: bool = False
-    #: Count of the heartbeat that last changed this; 0 where none is known.
+    #: `seq` of the heartbeat that last changed this; 0 if none is known.
     seq: int = 0
-    #: Lives that were registered under this id, with this one.
+    #: Incarnations registered under this id, including this one.
     lives: int = 0
-    #: Unix time, by the leader, at which this life was registered or ended.
+    #: Unix time, by the leader's clock, of its registration or its end.
     since_ms: int = 0
-    #: Silence or another runner at its address ended it, not its own word,
-    #: so that a newer word of it counts.
+    #: It ended by a timeout or by another runner at its address rather than
+    #: by leaving, so a newer heartbeat of it is accepted.
     may_return: bool = False
 
 
 def decode(
     decoder: msgspec.json.Decoder, body: bytes, what: str = 'heartbeat'
 ) -> typing.Any:
-    """Return what a body says, in the form that ``decoder`` takes.
+    """Return a body decoded by ``decoder``; errors name it as ``what``.
 
-    :raises BadHeartbeat: too long, no UTF-8 or JSON, or of another form.
+    :raises BadHeartbeat: it is too long, not UTF-8 or JSON, or has fields of
+        other types.
     """
-    if len(body) > MOST_BYTES:
-        raise errors.BadHeartbeat(f'{len(body)} bytes of a {what}', 'size')
+    if len(body) > MAX_BODY_BYTES:
+        raise errors.BadHeartbeat(f'{what} of {len(body)} bytes', 'size')
     try:
-        # The decoder passes over fields that it does not know unread.
+        # The decoder skips unknown fields without checking their encoding.
         body.decode()
         return decoder.decode(body)
     except msgspec.ValidationError as problem:
-        raise errors.BadHeartbeat(str(problem)[:MOST_SHOWN], 'fields')
+        raise errors.BadHeartbeat(str(problem)[:MAX_QUOTED], 'fields')
     except (UnicodeDecodeError, msgspec.DecodeError) as problem:
-        raise errors.BadHeartbeat(str(problem)[:MOST_SHOWN], 'unreadable')
+        raise errors.BadHeartbeat(str(problem)[:MAX_QUOTED], 'unreadable')
     except RecursionError:
-        raise errors.BadHeartbeat(f'a {what} nested too deep', 'unreadable')
+        raise errors.BadHeartbeat(f'{what} is nested too deeply', 'unreadable')
 
 
 def parse_id(raw: bytes) -> str:
-    """Return the id of a runner that stands in a path.
+    """Return the id of a runner from a segment of a path.
 
-    :raises BadHeartbeat: it is none.
+    :raises BadHeartbeat: it is not valid.
     """
     text = raw.decode('latin-1')
     check_id(text)
@@ -96,61 +97,61 @@
 
 
 def check_id(text: str) -> None:
-    """Refuse what can't be the id of a runner.
+    """Validate the id of a runner.
 
-    :raises BadHeartbeat: with the reason.
+    :raises BadHeartbeat: it is not valid.
     """
-    wrong = id_error(text)
-    if wrong:
-        raise errors.BadHeartbeat(wrong, 'id')
+    problem = id_error(text)
+    if problem:
+        raise errors.BadHeartbeat(problem, 'id')
 
 
 def id_error(text: str) -> str:
-    """Return why a text is no id of a runner; '' where it is one."""
-    if not 0 < len(text) <= MOST_ID:
-        return f'an id of {len(text)} characters'
+    """Return why a text is not a valid id of a runner; '' if it is valid."""
+    if not 0 < len(text) <= MAX_ID_LENGTH:
+        return f'id of {len(text)} characters, expected 1 to {MAX_ID_LENGTH}'
     if not all('!' <= each <= '~' and each != '/' for each in text):
-        return f'an id with other characters: {_shown(text)}'
+        return f'id with characters that are not allowed: {_quoted(text)}'
     return ''
 
 
 def check(instance: Instance, seq: int, cold_ms: float) -> Instance:
-    """Return a registration as its heartbeat tells it, with its count.
+    """Return a registration with ``seq`` and ``is_cold`` of its heartbeat.
 
-    :raises BadHeartbeat: a field holds what no runner can mean.
+    :raises BadHeartbeat: a field has an invalid value.
     """
     check_id(instance.instance_id)
     if instance.state not in (READY, DRAINING):
-        raise errors.BadHeartbeat(f'state {_shown(instance.state)}', 'state')
+        raise errors.BadHeartbeat(f'state {_quoted(instance.state)}', 'state')
     names = (instance.service, instance.hall, instance.software)
-    if not instance.service or max(map(len, names)) > MOST_NAME:
+    if not instance.service or max(map(len, names)) > MAX_NAME_LENGTH:
         raise errors.BadHeartbeat('a name is empty or too long', 'names')
     _check_address(instance.address)
-    _check_number('slots', instance.slots, MOST_SLOTS)
-    _check_number('count', seq, MOST_NUMBER)
+    _check_number('slots', instance.slots, MAX_SLOTS)
+    _check_number('seq', seq, MAX_INTEGER)
     check_start(instance.born_ms)
-    _check_number('cold', cold_ms, MOST_COLD_MS)
+    _check_number('cold time', cold_ms, MAX_COLD_MS)
     return instance._replace(is_cold=cold_ms > 0, seq=seq)
 
 
 def check_start(born_ms: int) -> int:
-    """Return a start that a runner tells; 0 where it tells none.
+    """Return the reported start time; 0 if it was not reported.
 
-    :raises BadHeartbeat: it can be none.
+    :raises BadHeartbeat: it is out of range.
     """
-    _check_number('start', born_ms, MOST_NUMBER)
+    _check_number('start', born_ms, MAX_INTEGER)
     return born_ms
 
 
-def _check_number(name: str, value: float, most: float) -> None:
-    if not 0 <= value <= most:
-        raise errors.BadHeartbeat(f'{name} {_shown(value)}', 'range')
+def _check_number(name: str, value: float, limit: float) -> None:
+    if not 0 <= value <= limit:
+        raise errors.BadHeartbeat(f'{name} {_quoted(value)}', 'range')
 
 
 def _check_address(address: str) -> None:
     host, _, port = address.rpartition(':')
     if not (_is_ip(host) and _is_port(port)):
-        raise errors.BadHeartbeat(f'address {_shown(address)}', 'address')
+        raise errors.BadHeartbeat(f'address {_quoted(address)}', 'address')
 
 
 def _is_port(text: str) -> bool:
@@ -166,5 +167,5 @@
     return True
 
 
-def _shown(value: typing.Any) -> str:
-    return ascii(value)[:MOST_SHOWN]
+def _quoted(value: typing.Any) -> str:
+    return ascii(value)[:MAX_QUOTED]
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -971,7 +971,7 @@
     ),
     Mutant(
         'lives: any number', 'instances',
-        'if not 0 <= value <= most:',
+        'if not 0 <= value <= limit:',
         'if False:', 'lives',
     ),
     Mutant(
