--- a/mountridge/documents/instances.py
+++ b/mountridge/documents/instances.py
@@ -109,7 +109,7 @@
 def id_error(text: str) -> str:
     """Return why a text is not a valid id of a runner; '' if it is valid."""
     if not 0 < len(text) <= MAX_ID_LENGTH:
-        return f'id of {len(text)} characters, expected 1 to {MAX_ID_LENGTH}'
+        return f'id length {len(text)} is out of range'
     if not all('!' <= each <= '~' and each != '/' for each in text):
         return f'id with characters that are not allowed: {_quoted(text)}'
     return ''
