--- a/mountridge/control/quarantineoffice.py
+++ b/mountridge/control/quarantineoffice.py
@@ -105,7 +105,7 @@
         is_new = crash.life not in seen
         seen.setdefault(crash.life, crashed_s)
         for life, at_s in list(seen.items()):
-            if now_s - at_s >= quarantines.KEPT_S:
+            if now_s - at_s >= quarantines.CRASH_TTL_S:
                 del seen[life]
         self._crashed_s[crash.digest] = seen
         while len(self._crashed_s) > MOST_SUSPECTS:
--- a/mountridge/documents/quarantines.py
+++ b/mountridge/documents/quarantines.py
@@ -12,7 +12,7 @@
 from mountridge import errors
 
 __all__ = [
-    'Crash', 'DIGEST_BYTES', 'HOLD_AT', 'Held', 'KEPT_S', 'digest',
+    'Crash', 'DIGEST_BYTES', 'HOLD_AT', 'Held', 'CRASH_TTL_S', 'digest',
     'read_digest',
 ]  # fmt: skip
 
@@ -27,7 +27,7 @@
 HOLD_AT = 2
 #: A crash counts for so long: callers come again within seconds, and by then
 #: the leader has counted what they did at other gateways.
-KEPT_S = 600.0
+CRASH_TTL_S = 600.0
 
 
 class Held(typing.NamedTuple):
--- a/mountridge/routing/quarantine.py
+++ b/mountridge/routing/quarantine.py
@@ -103,7 +103,9 @@
         """Return whether the own count alone holds a request back."""
         seen = self._crashes.get(digest, {})
         fresh = [
-            at_s for at_s in seen.values() if now_s - at_s < quarantines.KEPT_S
+            at_s
+            for at_s in seen.values()
+            if now_s - at_s < quarantines.CRASH_TTL_S
         ]
         return len(fresh) >= quarantines.HOLD_AT
 
@@ -157,7 +159,7 @@
     def _forget(self, now_s: float) -> None:
         for digest, seen in list(self._crashes.items()):
             for life, at_s in list(seen.items()):
-                if now_s - at_s >= quarantines.KEPT_S:
+                if now_s - at_s >= quarantines.CRASH_TTL_S:
                     del seen[life]
             if not seen:
                 del self._crashes[digest]
