--- a/mountridge/control/quarantineoffice.py
+++ b/mountridge/control/quarantineoffice.py
@@ -113,7 +113,7 @@
         if is_new:
             self.app.metrics.incr('quarantine.suspected')
         # One crash in its trial is enough: it had crashed several before.
-        most = 1 if is_trial else quarantines.HOLD_AT
+        most = 1 if is_trial else quarantines.CRASH_THRESHOLD
         is_held = known is not None and known.is_held
         if not is_held and len(seen) >= most:
             await self._hold(crash.digest, len(seen))
--- a/mountridge/documents/quarantines.py
+++ b/mountridge/documents/quarantines.py
@@ -12,8 +12,8 @@
 from mountridge import errors
 
 __all__ = [
-    'Crash', 'DIGEST_BYTES', 'HOLD_AT', 'Held', 'CRASH_TTL_S', 'digest',
-    'read_digest',
+    'CRASH_TTL_S', 'Crash', 'DIGEST_BYTES', 'CRASH_THRESHOLD', 'Held',
+    'digest', 'read_digest',
 ]  # fmt: skip
 
 #: 128 bits: two of a billion requests share one by a chance of 1 in 10**20.
@@ -24,7 +24,7 @@
 #: innocent ones are held back at 2 and 6 at 3, and killers crash 190 runners
 #: and 291; at 1, 4,013 are held back (docs/design/quarantine.md). A crash
 #: breaks all that its runner works on, and stops a whole group.
-HOLD_AT = 2
+CRASH_THRESHOLD = 2
 #: A crash counts for so long: callers come again within seconds, and by then
 #: the leader has counted what they did at other gateways.
 CRASH_TTL_S = 600.0
--- a/mountridge/routing/quarantine.py
+++ b/mountridge/routing/quarantine.py
@@ -107,7 +107,7 @@
             for at_s in seen.values()
             if now_s - at_s < quarantines.CRASH_TTL_S
         ]
-        return len(fresh) >= quarantines.HOLD_AT
+        return len(fresh) >= quarantines.CRASH_THRESHOLD
 
     def crashed(
         self,
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -721,7 +721,7 @@
     ),
     Mutant(
         'quarantine: the own count does not hold', 'quarantine',
-        'return len(fresh) >= quarantines.HOLD_AT', 'return False',
+        'return len(fresh) >= quarantines.CRASH_THRESHOLD', 'return False',
         'quarantine',
     ),
     Mutant(
@@ -754,8 +754,8 @@
     ),
     Mutant(
         'quarantine: a trial that crashes takes two', 'quarantineoffice',
-        'most = 1 if is_trial else quarantines.HOLD_AT',
-        'most = quarantines.HOLD_AT', 'quarantine',
+        'most = 1 if is_trial else quarantines.CRASH_THRESHOLD',
+        'most = quarantines.CRASH_THRESHOLD', 'quarantine',
     ),
     Mutant(
         'quarantine: nothing is ever tried again', 'quarantineoffice',
