--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -309,7 +309,7 @@
 @given('a rank that crashed under a request which had shown {count:d} events')
 def crashed_rank(context, count):
     known = quarantine.Quarantine()
-    known.follow([quarantines.Held(b'other', True, 2, 1, 0.0)])
+    known.follow([quarantines.QuarantinedRequest(b'other', True, 2, 1, 0.0)])
     app = types.SimpleNamespace(
         now_s=lambda: 1.0, metrics=metrics.Metrics(None)
     )
@@ -463,8 +463,8 @@
 @given('an entry that answers commands and knows two requests')
 def entry_of_commands(context):
     listed = [
-        quarantines.Held(b'1' * 16, True, 2, 1, 0.0),
-        quarantines.Held(b'2' * 16, False, 5, 2, 0.0),
+        quarantines.QuarantinedRequest(b'1' * 16, True, 2, 1, 0.0),
+        quarantines.QuarantinedRequest(b'2' * 16, False, 5, 2, 0.0),
     ]
     told = [each._asdict() | {'digest': each.digest.hex()} for each in listed]
 
--- a/mountridge/documents/quarantines.py
+++ b/mountridge/documents/quarantines.py
@@ -12,8 +12,8 @@
 from mountridge import errors
 
 __all__ = [
-    'CRASH_TTL_S', 'Crash', 'DIGEST_BYTES', 'CRASH_THRESHOLD', 'Held',
-    'digest', 'read_digest',
+    'CRASH_TTL_S', 'Crash', 'DIGEST_BYTES', 'CRASH_THRESHOLD',
+    'QuarantinedRequest', 'digest', 'read_digest',
 ]  # fmt: skip
 
 #: 128 bits: two of a billion requests share one by a chance of 1 in 10**20.
@@ -30,7 +30,7 @@
 CRASH_TTL_S = 600.0
 
 
-class Held(typing.NamedTuple):
+class QuarantinedRequest(typing.NamedTuple):
     """A request that was held back, and whether it still is."""
 
     digest: bytes
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -316,14 +316,16 @@
         """
         return await self.hall_orders.read()
 
-    async def read_quarantine(self) -> list[quarantines.Held]:
+    async def read_quarantine(self) -> list[quarantines.QuarantinedRequest]:
         """Return the requests that are or were held back.
 
         :raises NoController: it can't be told.
         """
         return await self.crash_reports.read()
 
-    async def release(self, digest: bytes) -> list[quarantines.Held]:
+    async def release(
+        self, digest: bytes
+    ) -> list[quarantines.QuarantinedRequest]:
         """Hold a request back no more; return what else is held.
 
         :raises NoController: it may have been carried out, or not.
--- a/mountridge/routing/crashreports.py
+++ b/mountridge/routing/crashreports.py
@@ -73,13 +73,13 @@
             with trio.move_on_after(TELL_S):
                 await self._report(report)
 
-    def follow(self, listed: list[quarantines.Held]) -> None:
+    def follow(self, listed: list[quarantines.QuarantinedRequest]) -> None:
         """Follow the view: what is or was held back."""
         self._known.follow(listed)
         if listed:
             self._seen.set()
 
-    async def read(self) -> list[quarantines.Held]:
+    async def read(self) -> list[quarantines.QuarantinedRequest]:
         """Return the requests that are or were held back.
 
         :raises NoController: it can't be told.
@@ -87,7 +87,9 @@
         reply = await self._call(messages.ReadQuarantine(), CALL_S)
         return reply.held
 
-    async def release(self, digest: bytes) -> list[quarantines.Held]:
+    async def release(
+        self, digest: bytes
+    ) -> list[quarantines.QuarantinedRequest]:
         """Hold a request back no more; return what else is held.
 
         :raises NoController: it may have been carried out, or not.
--- a/mountridge/routing/entryapi.py
+++ b/mountridge/routing/entryapi.py
@@ -51,10 +51,12 @@
     async def set_hall(self, name: str, is_out: bool) -> halls.HallState:
         """Take a hall out of service, or put it back."""
 
-    async def read_quarantine(self) -> list[quarantines.Held]:
+    async def read_quarantine(self) -> list[quarantines.QuarantinedRequest]:
         """Return the requests that are or were held back."""
 
-    async def release(self, digest: bytes) -> list[quarantines.Held]:
+    async def release(
+        self, digest: bytes
+    ) -> list[quarantines.QuarantinedRequest]:
         """Hold a request back no more."""
 
 
--- a/mountridge/routing/quarantine.py
+++ b/mountridge/routing/quarantine.py
@@ -38,7 +38,7 @@
 
     def __init__(self, key: str = ''):
         self._key = key.encode()
-        self._held: dict[bytes, quarantines.Held] = {}
+        self._held: dict[bytes, quarantines.QuarantinedRequest] = {}
         #: When lives of runners crashed, by digest.
         self._crashes: collections.OrderedDict[bytes, dict[tuple, float]] = (
             collections.OrderedDict()
@@ -65,7 +65,9 @@
             request.body,
         )
 
-    def follow(self, listed: typing.Iterable[quarantines.Held]) -> None:
+    def follow(
+        self, listed: typing.Iterable[quarantines.QuarantinedRequest]
+    ) -> None:
         """Follow the view: what is or was held back."""
         before = self._held
         self._held = {each.digest: each for each in listed}
--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -70,7 +70,7 @@
         self.instances: dict[str, instances.Instance] = {}
         self.halls: dict[str, halls.HallState] = {}
         #: What is or was held back, the latest changed last.
-        self.quarantine: dict[bytes, quarantines.Held] = {}
+        self.quarantine: dict[bytes, quarantines.QuarantinedRequest] = {}
 
     def apply(self, index: int, command: commands.Command) -> typing.Any:
         """Apply the command at ``index`` and return its reply.
@@ -354,13 +354,15 @@
 
 def _hold_request(
     machine: StateMachine, index: int, command: commands.HoldRequest
-) -> quarantines.Held:
+) -> quarantines.QuarantinedRequest:
     """Hold a request back; past the bound the oldest ones are forgotten."""
     known = machine.quarantine.get(command.digest)
     if known is not None and known.is_held:
         return known
-    before = known or quarantines.Held(command.digest, False, 0, 0, 0.0)
-    held = quarantines.Held(
+    before = known or quarantines.QuarantinedRequest(
+        command.digest, False, 0, 0, 0.0
+    )
+    held = quarantines.QuarantinedRequest(
         command.digest,
         True,
         before.crashes + command.crashes,
@@ -375,7 +377,7 @@
 
 def _release_request(
     machine: StateMachine, index: int, command: commands.ReleaseRequest
-) -> quarantines.Held | None:
+) -> quarantines.QuarantinedRequest | None:
     """Let a request be tried once more, or forget that it was held back."""
     known = machine.quarantine.get(command.digest)
     if known is None or not command.is_trial:
@@ -387,7 +389,7 @@
 
 
 def _keep_held(
-    machine: StateMachine, index: int, held: quarantines.Held
+    machine: StateMachine, index: int, held: quarantines.QuarantinedRequest
 ) -> None:
     machine.quarantine.pop(held.digest, None)
     machine.quarantine[held.digest] = held
--- a/mountridge/state/views.py
+++ b/mountridge/state/views.py
@@ -60,7 +60,7 @@
 _ROW = msgspec.msgpack.Decoder(tables.Row)
 _MEMBER = msgspec.msgpack.Decoder(Member)
 _INSTANCE = msgspec.msgpack.Decoder(instances.Instance)
-_HELD = msgspec.msgpack.Decoder(quarantines.Held)
+_HELD = msgspec.msgpack.Decoder(quarantines.QuarantinedRequest)
 _HALL = msgspec.msgpack.Decoder(halls.HallState)
 _ROUTES = msgspec.msgpack.Decoder(messages.RoutesReply)
 
@@ -90,7 +90,7 @@
     return _HALL.decode(data)
 
 
-def unpack_held(data: bytes) -> quarantines.Held:
+def unpack_held(data: bytes) -> quarantines.QuarantinedRequest:
     """Return the request held back that ``data`` stands for."""
     return _HELD.decode(data)
 
