--- a/mountridge/documents/quarantines.py
+++ b/mountridge/documents/quarantines.py
@@ -13,7 +13,7 @@
 
 __all__ = [
     'CRASH_TTL_S', 'Crash', 'DIGEST_BYTES', 'CRASH_THRESHOLD',
-    'QuarantinedRequest', 'digest', 'read_digest',
+    'QuarantinedRequest', 'digest', 'parse_digest',
 ]  # fmt: skip
 
 #: 128 bits: two of a billion requests share one by a chance of 1 in 10**20.
@@ -66,7 +66,7 @@
     return made.digest()
 
 
-def read_digest(text: str) -> bytes:
+def parse_digest(text: str) -> bytes:
     """Return the digest that is written in hexadecimal digits.
 
     :raises BadRequest: it is none.
--- a/mountridge/routing/entryapi.py
+++ b/mountridge/routing/entryapi.py
@@ -238,7 +238,7 @@
         listed = await entry.read_quarantine()
     elif rest.endswith(spelling.release):
         text = rest[: -len(spelling.release)].decode('latin-1')
-        listed = await entry.release(quarantines.read_digest(text))
+        listed = await entry.release(quarantines.parse_digest(text))
     else:
         raise errors.NoRoute(path.decode('latin-1'))
     told = [each._asdict() | {'digest': each.digest.hex()} for each in listed]
