--- a/mountridge/control/quarantineoffice.py
+++ b/mountridge/control/quarantineoffice.py
@@ -102,8 +102,8 @@
             return
         is_trial = known is not None and not known.is_held
         seen = self._crashed_s.pop(crash.digest, {})
-        is_new = crash.life not in seen
-        seen.setdefault(crash.life, crashed_s)
+        is_new = crash.incarnation not in seen
+        seen.setdefault(crash.incarnation, crashed_s)
         for life, at_s in list(seen.items()):
             if now_s - at_s >= quarantines.CRASH_TTL_S:
                 del seen[life]
--- a/mountridge/documents/quarantines.py
+++ b/mountridge/documents/quarantines.py
@@ -50,7 +50,7 @@
     age_s: float  # since it crashed
 
     @property
-    def life(self) -> tuple[str, int, int]:
+    def incarnation(self) -> tuple[str, int, int]:
         """The life of the runner that crashed."""
         return self.instance_id, self.lives, self.born_ms
 
