--- a/mountridge/documents/routes.py
+++ b/mountridge/documents/routes.py
@@ -17,7 +17,7 @@
 __all__ = [
     'Engine', 'Limits', 'Route', 'RouteTable', 'SAFE',
     'STREAMING', 'Service', 'Share', 'Team', 'UNSAFE', 'check', 'compress',
-    'decompress', 'decode', 'draw_service', 'index',
+    'decompress', 'decode', 'choose_service', 'index',
 ]  # fmt: skip
 
 #: Kinds of route: what may be repeated, and how the answer comes.
@@ -219,7 +219,7 @@
     )
 
 
-def draw_service(route: Route, rng: random.Random) -> str:
+def choose_service(route: Route, rng: random.Random) -> str:
     """Return one of a route's services, by their weights."""
     if len(route.shares) == 1:
         return route.shares[0].service
--- a/mountridge/routing/routefilters.py
+++ b/mountridge/routing/routefilters.py
@@ -50,7 +50,7 @@
         exchange.route = known.match(call.host, call.path)
         if exchange.route is None:
             raise errors.NoRoute(f'{call.host}{call.path}')
-        exchange.service = routes.draw_service(exchange.route, rng)
+        exchange.service = routes.choose_service(exchange.route, rng)
 
     def find_team(exchange: Exchange, now_s: float) -> None:
         known = index()
