--- a/mountridge/documents/routes.py
+++ b/mountridge/documents/routes.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Routes: which service a request is for, and what rules its handling.
+"""Routes: how requests map to services, and the limits that apply to them.
 
-A routes document has a version; the highest one that was accepted holds.
-It is checked whole before anyone takes it: one error refuses all of it.
+A routes document has a version; the highest accepted version is in force.
+Documents are validated as a whole: any error rejects the document.
 """
 
 import random
@@ -16,18 +16,18 @@
 
 __all__ = [
     'Engine', 'Limits', 'Route', 'RouteTable', 'SAFE',
-    'STREAMING', 'Service', 'Share', 'Team', 'UNSAFE', 'check', 'compress',
-    'decompress', 'decode', 'choose_service', 'index',
+    'STREAMING', 'Service', 'Share', 'Team', 'UNSAFE', 'check',
+    'choose_service', 'compress', 'decode', 'decompress', 'index',
 ]  # fmt: skip
 
-#: Kinds of route: what may be repeated, and how the answer comes.
+#: Kinds of route: whether requests may be repeated, and whether responses
+#: are streams of events.
 SAFE, UNSAFE, STREAMING = 'safe', 'unsafe', 'streaming'
 KINDS = (SAFE, UNSAFE, STREAMING)
 
-#: A document past this size, unpacked, is refused; 4 MiB is what the HTTP
-#: side takes as a body.
-DOCUMENT_BYTES = 8 << 20
-#: zlib's level: 3 costs a third of 9's time at a tenth more bytes.
+#: Initial size of the buffer for decompressing a document; not a limit.
+BUFFER_BYTES = 8 << 20
+#: Level of zlib; higher ones take far longer for little gain.
 COMPRESS_LEVEL = 3
 
 
@@ -39,51 +39,53 @@
 
 
 class Route(typing.NamedTuple):
-    """Requests to one host whose path begins with one prefix."""
+    """A rule for the requests to a host whose path starts with a prefix."""
 
     name: str
     host: str
     prefix: str
     kind: str
-    timeout_ms: float  # longest time that a request is held
-    target_ms: float  # an answer (its first event) by then is in time
-    priority: int  # 0 is the most urgent
+    timeout_ms: float  # for the whole request
+    target_ms: float  # target latency of the response or its first event
+    priority: int  # 0 is the highest
     shares: list[Share]
     most_attempts: int  # runners that one request may be sent to
-    public: bool  # no key is needed
-    resumable: bool  # a stream may be resumed at another runner
-    gap_ms: float  # longest pause between events that is in time
+    public: bool  # no API key is required
+    resumable: bool  # a stream may be resumed on another runner
+    gap_ms: float  # target for the longest pause between events
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be processed more than once."""
         return self.kind == SAFE or (self.kind == STREAMING and self.resumable)
 
 
 class Engine(typing.NamedTuple):
-    """What is known of the model engines behind a service."""
+    """Parameters of the model engines behind a service."""
 
     slots: int  # requests in a batch
     memory_tokens: int
-    experts: int = 0  # of one set of layers; 0: not in a group
-    places: int = 0  # experts that a rank holds at most, by set
-    spare: int = 0  # experts new to a rank, by set, in one change of the map
-    copy_s: float = 0.0  # to copy one expert to a rank; 0: not known
+    experts: int = 0  # per set of layers; 0: not in a group
+    places: int = 0  # most experts that a rank holds, per set of layers
+    #: Most experts added to a rank, per set of layers, in one change of the
+    #: expert map.
+    spare: int = 0
+    copy_s: float = 0.0  # to copy one expert to a rank; 0: unknown
 
 
 class Service(typing.NamedTuple):
-    """A service and what its runners bear."""
+    """A service and the capacity of its runners."""
 
     name: str
     health_path: str
     most_connections: int  # to one runner, from all gateways together
     engine: Engine | None
-    cold_s: float = 0.0  # a runner is cold for so long after its start
-    cold_per_s: float = 0.0  # requests that a cold one bears; 0: any number
+    cold_s: float = 0.0  # how long a runner is cold after its start
+    cold_per_s: float = 0.0  # request rate of a cold runner; 0: not limited
 
 
 class Limits(typing.NamedTuple):
-    """What a caller may send, and how long it may take or rest."""
+    """Limits on requests and connections of callers."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
@@ -92,7 +94,7 @@
 
 
 class Team(typing.NamedTuple):
-    """A team, its keys, and its priority, which outranks the routes'."""
+    """A team, its API keys, and a priority that overrides the routes'."""
 
     name: str
     keys: list[str]
@@ -106,111 +108,115 @@
     routes: list[Route]
     services: list[Service]
     limits: Limits
-    teams: list[Team] | None  # None: no keys are asked for
+    teams: list[Team] | None  # None: API keys are not required
 
 
-_TABLE = msgspec.json.Decoder(RouteTable)
+_DECODER = msgspec.json.Decoder(RouteTable)
 
 
 def decode(source: bytes) -> RouteTable:
-    """Return the table in a document of the project's own form (JSON).
+    """Return the table in a document of the native JSON format.
 
-    :raises BadRoutes: it can't be read, or `check` refuses it.
+    :raises BadRoutes: it is malformed, or `check` rejects it.
     """
     try:
-        table = _TABLE.decode(source)
+        table = _DECODER.decode(source)
     except (msgspec.MsgspecError, UnicodeDecodeError) as problem:
         raise errors.BadRoutes(str(problem))
     except RecursionError:
-        raise errors.BadRoutes('nested too deep')
+        raise errors.BadRoutes('nested too deeply')
     check(table)
     return table
 
 
 def compress(source: bytes) -> bytes:
-    """Return a document as it is kept and spread."""
+    """Return a document in the form that is stored and replicated."""
     return zlib.compress(source, COMPRESS_LEVEL)
 
 
 def decompress(packed: bytes) -> bytes:
-    """Return the document that was kept."""
-    return zlib.decompress(packed, bufsize=DOCUMENT_BYTES)
+    """Return the document from its compressed form."""
+    return zlib.decompress(packed, bufsize=BUFFER_BYTES)
 
 
 def check(table: RouteTable) -> None:
-    """Refuse a table that contradicts itself.
+    """Validate a table.
 
-    :raises BadRoutes: with every error found.
+    :raises BadRoutes: with all errors that were found.
     """
-    wrong = _wrong_routes(table) + _wrong_teams(table.teams or [])
+    problems = _route_errors(table) + _team_errors(table.teams or [])
     if table.version < 0:
-        wrong.append(f'version {table.version}: expected 0 or more')
-    if wrong:
-        raise errors.BadRoutes('; '.join(wrong))
+        problems.append(f'version {table.version}: expected 0 or more')
+    if problems:
+        raise errors.BadRoutes('; '.join(problems))
 
 
-def _wrong_routes(table: RouteTable) -> list[str]:
+def _route_errors(table: RouteTable) -> list[str]:
     services = {service.name for service in table.services}
-    places: set[tuple[str, str]] = set()
-    wrong = []
+    prefixes: set[tuple[str, str]] = set()
+    problems = []
     for route in table.routes:
         unknown = {s.service for s in route.shares} - services
         if unknown:
-            wrong.append(f'{route.name}: unknown service {sorted(unknown)}')
+            problems.append(f'{route.name}: unknown service {sorted(unknown)}')
         if not sum(share.weight for share in route.shares) > 0:
-            wrong.append(f'{route.name}: the weights add up to nothing')
+            problems.append(
+                f'{route.name}: the sum of the weights must be above 0'
+            )
         if any(share.weight < 0 for share in route.shares):
-            wrong.append(f'{route.name}: a weight below 0')
+            problems.append(f'{route.name}: negative weight')
         if not route.timeout_ms > 0:
-            wrong.append(f'{route.name}: no time-out')
+            problems.append(f'{route.name}: timeout_ms must be above 0')
         if route.kind not in KINDS:
-            wrong.append(f'{route.name}: unknown kind {route.kind!r}')
+            problems.append(f'{route.name}: unknown kind {route.kind!r}')
         if not route.prefix.startswith('/') or not route.prefix.endswith('/'):
-            wrong.append(f'{route.name}: a prefix begins and ends with /')
-        place = (route.host.lower(), route.prefix)
-        if place in places:
-            wrong.append(f'{route.name}: another route has its place')
-        places.add(place)
-    return wrong
-
-
-def _wrong_teams(teams: list[Team]) -> list[str]:
-    holders: dict[str, str] = {}
-    wrong = []
+            problems.append(
+                f'{route.name}: the prefix must start and end with /'
+            )
+        prefix = (route.host.lower(), route.prefix)
+        if prefix in prefixes:
+            problems.append(f'{route.name}: duplicate host and prefix')
+        prefixes.add(prefix)
+    return problems
+
+
+def _team_errors(teams: list[Team]) -> list[str]:
+    owners: dict[str, str] = {}
+    problems = []
     for team in teams:
         for key in team.keys:
-            if holders.setdefault(key, team.name) != team.name:
-                wrong.append(f'{team.name}: shares a key with another team')
-    return wrong
+            if owners.setdefault(key, team.name) != team.name:
+                problems.append(f'{team.name}: API key of another team')
+    return problems
 
 
 class Index(typing.NamedTuple):
-    """A table laid out for look-up."""
+    """A routes table indexed for lookups."""
 
     table: RouteTable
-    by_place: dict[tuple[str, str], Route]
+    by_prefix: dict[tuple[str, str], Route]
     team_by_key: dict[str, Team]
     services: dict[str, Service]
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of the longest prefix that begins ``path``."""
+        """Return the route with the longest prefix of ``path``."""
         host = host.lower()
         end = len(path)
         while end > 0:
             end = path.rfind('/', 0, end) + 1
-            found = self.by_place.get((host, path[:end]))
+            found = self.by_prefix.get((host, path[:end]))
             if found is not None:
                 return found
             end -= 1
         return None
 
     def team(self, key: str | None) -> Team | None:
-        """Return the team that holds a key."""
+        """Return the team that an API key belongs to."""
         return self.team_by_key.get(key) if key is not None else None
 
 
 def index(table: RouteTable) -> Index:
-    """Return ``table`` laid out for look-up."""
+    """Return the index of a table."""
     return Index(
         table,
         {(r.host.lower(), r.prefix): r for r in table.routes},
@@ -220,7 +226,7 @@
 
 
 def choose_service(route: Route, rng: random.Random) -> str:
-    """Return one of a route's services, by their weights."""
+    """Return one of a route's services at random, by weight."""
     if len(route.shares) == 1:
         return route.shares[0].service
     names = [share.service for share in route.shares]
