--- a/mountridge/documents/routes.py
+++ b/mountridge/documents/routes.py
@@ -166,7 +166,7 @@
         if any(share.weight < 0 for share in route.shares):
             problems.append(f'{route.name}: negative weight')
         if not route.timeout_ms > 0:
-            problems.append(f'{route.name}: timeout_ms must be above 0')
+            problems.append(f'{route.name}: the timeout must be above 0')
         if route.kind not in KINDS:
             problems.append(f'{route.name}: unknown kind {route.kind!r}')
         if not route.prefix.startswith('/') or not route.prefix.endswith('/'):
@@ -186,7 +186,9 @@
     for team in teams:
         for key in team.keys:
             if owners.setdefault(key, team.name) != team.name:
-                problems.append(f'{team.name}: API key of another team')
+                problems.append(
+                    f'{team.name}: API key is also held by another team'
+                )
     return problems
 
 
