--- a/mountridge/documents/sheets.py
+++ b/mountridge/documents/sheets.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The table as a sheet: CSV in and out."""
+"""Import and export of the table as a CSV sheet."""
 
 import csv
 import io
@@ -14,11 +14,11 @@
 def read_sheet(text: str) -> list[tables.Row]:
     """Return the rows of a CSV sheet.
 
-    :raises BadSheet: with each error's row and column; nothing is taken.
+    :raises BadSheet: with the row and column of each error.
     """
     reader = csv.DictReader(io.StringIO(text, newline=''), strict=True)
     try:
-        listed = list(reader)
+        records = list(reader)
     except csv.Error as problem:
         raise errors.BadSheet(f'row {reader.line_num}: {problem}')
     names = reader.fieldnames or []
@@ -30,15 +30,15 @@
     if missing:
         raise errors.BadSheet('row 1: missing ' + ', '.join(missing))
     if len(set(names)) != len(names):
-        raise errors.BadSheet('row 1: a column stands twice')
-    for number, cells in enumerate(listed, start=2):
+        raise errors.BadSheet('row 1: duplicate column')
+    for number, cells in enumerate(records, start=2):
         if None in cells or None in cells.values():
             raise errors.BadSheet(f'row {number}: expected {len(names)} cells')
-    return tables.check_rows(listed)
+    return tables.check_rows(records)
 
 
 def write_sheet(rows: list[tables.Row]) -> str:
-    """Return the CSV sheet of ``rows``."""
+    """Return ``rows`` as a CSV sheet."""
     out = io.StringIO()
     writer = csv.DictWriter(out, list(tables.COLUMNS), lineterminator='\n')
     writer.writeheader()
