--- a/mountridge/documents/tables.py
+++ b/mountridge/documents/tables.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The operators' table: its columns, the checks of a row, and diffs."""
+"""The operators' table: columns, validation of rows, and diffs."""
 
 import math
 import typing
@@ -18,13 +18,13 @@
     'to_row',
 ]
 
-#: Classes of work; an earlier one goes first at each runner.
+#: Classes of requests; runners serve an earlier class first.
 PRIORITIES = ('alarm', 'interactive', 'draft')
 MAX_ROWS = 20000
 
 
 class Row(typing.NamedTuple):
-    """One row: weights and limits of a team for a service and group."""
+    """Weights and limits of a team for a service and group of ranks."""
 
     team: str
     service: str
@@ -41,15 +41,15 @@
 
 
 class Column(typing.NamedTuple):
-    """One column: how its text is read, its default, unit and meaning."""
+    """A column of the table."""
 
-    read: typing.Callable[[str], typing.Any]
+    parse: typing.Callable[[str], typing.Any]
     default: typing.Any  # None: a value is required
     unit: str
     doc: str
 
 
-def _name(text: str) -> str:
+def _parse_name(text: str) -> str:
     if not text or len(text) > 64:
         raise ValueError('expected 1 to 64 characters')
     if any(not (c.isalnum() or c in '-_.') for c in text):
@@ -57,81 +57,86 @@
     return text
 
 
-def _group(text: str) -> str:
-    return text if text == '*' else _name(text)
+def _parse_group(text: str) -> str:
+    return text if text == '*' else _parse_name(text)
 
 
-def _number(low: float, high: float) -> typing.Callable[[str], float]:
-    def read(text: str) -> float:
+def _float_parser(low: float, high: float) -> typing.Callable[[str], float]:
+    def parse(text: str) -> float:
         value = float(text)
         if not math.isfinite(value) or not low <= value <= high:
             raise ValueError(f'expected {low:g} to {high:g}')
         return value
 
-    return read
+    return parse
 
 
-def _whole(low: int, high: int) -> typing.Callable[[str], int]:
-    def read(text: str) -> int:
+def _integer_parser(low: int, high: int) -> typing.Callable[[str], int]:
+    def parse(text: str) -> int:
         value = int(text)
         if not low <= value <= high:
             raise ValueError(f'expected {low} to {high}')
         return value
 
-    return read
+    return parse
 
 
-def _priority(text: str) -> str:
+def _parse_priority(text: str) -> str:
     if text not in PRIORITIES:
         raise ValueError('expected ' + ', '.join(PRIORITIES))
     return text
 
 
-def _yes_no(text: str) -> bool:
+def _parse_bool(text: str) -> bool:
     if text not in ('yes', 'no'):
         raise ValueError('expected yes or no')
     return text == 'yes'
 
 
-#: The columns of the sheet, in their order.
+#: In the order of the columns of the sheet.
 COLUMNS: dict[str, Column] = {
-    'team': Column(_name, None, '', 'who sends the requests'),
-    'service': Column(_name, None, '', 'the model or plain service'),
-    'expert_group': Column(_group, '*', '', 'group of ranks; * is any'),
+    'team': Column(_parse_name, None, '', 'who sends the requests'),
+    'service': Column(_parse_name, None, '', 'the model or plain service'),
+    'expert_group': Column(_parse_group, '*', '', 'group of ranks; * is any'),
     'weight': Column(
-        _number(0.01, 1000), 1.0, '', 'share of a runner among teams'
+        _float_parser(0.01, 1000), 1.0, '', 'share of a runner among teams'
     ),
     'concurrency': Column(
-        _whole(1, 1000000), 64, 'requests', 'most at once, all gateways'
+        _integer_parser(1, 1000000),
+        64,
+        'requests',
+        'most at once, all gateways',
     ),
     'rate_per_s': Column(
-        _number(0.01, 1e6), 100.0, 'requests/s', 'most begun in a second'
+        _float_parser(0.01, 1e6), 100.0, 'requests/s', 'most begun in a second'
+    ),
+    'queue_s': Column(
+        _float_parser(0, 600), 5.0, 's', 'longest wait for a runner'
     ),
-    'queue_s': Column(_number(0, 600), 5.0, 's', 'longest wait for a runner'),
     'priority': Column(
-        _priority, 'interactive', '', 'alarm, interactive or draft'
+        _parse_priority, 'interactive', '', 'alarm, interactive or draft'
     ),
     'deadline_s': Column(
-        _number(0.1, 3600), 120.0, 's', 'longest time for the answer'
+        _float_parser(0.1, 3600), 120.0, 's', 'longest time for the answer'
     ),
     'repeatable': Column(
-        _yes_no, True, 'yes/no', 'may a request be run again'
+        _parse_bool, True, 'yes/no', 'may a request be run again'
     ),
     'skew_weight': Column(
-        _number(0, 1000), 1.0, '', 'cost of 1 s of step-time skew'
+        _float_parser(0, 1000), 1.0, '', 'cost of 1 s of step-time skew'
     ),
     'move_weight': Column(
-        _number(0, 1000), 1.0, '', 'cost of moving 1 GiB of experts'
+        _float_parser(0, 1000), 1.0, '', 'cost of moving 1 GiB of experts'
     ),
 }
 
 
 def row_key(row: Row) -> str:
-    """Return the key that no two rows share."""
+    """Return the unique key of a row."""
     return f'{row.team}/{row.service}/{row.expert_group}'
 
 
-def _write(value: typing.Any) -> str:
+def _format(value: typing.Any) -> str:
     if isinstance(value, bool):
         return 'yes' if value else 'no'
     if isinstance(value, float):
@@ -140,56 +145,58 @@
 
 
 def to_cells(row: Row) -> dict[str, str]:
-    """Return the cells of a row as the sheet shows them."""
-    return {name: _write(value) for name, value in row._asdict().items()}
+    """Return the cells of a row, formatted as in the sheet."""
+    return {name: _format(value) for name, value in row._asdict().items()}
 
 
-def _read_cell(name: str, text: str, where: str, wrong: list[str]):
+def _parse_cell(name: str, text: str, where: str, problems: list[str]):
     column = COLUMNS[name]
     if text == '' and column.default is not None:
         return column.default
     try:
-        return column.read(text)
+        return column.parse(text)
     except (ValueError, OverflowError) as problem:
-        wrong.append(f'{where}, column {name}: {text!r}: {problem}')
+        problems.append(f'{where}, column {name}: {text!r}: {problem}')
         return column.default
 
 
-def to_row(cells: dict, where: str, wrong: list[str]) -> Row:
-    """Return the row for ``cells``; what is wrong is added to ``wrong``."""
+def to_row(cells: dict, where: str, problems: list[str]) -> Row:
+    """Return the row for ``cells``; append errors to ``problems``."""
     for name in cells:
         if name not in COLUMNS:
-            wrong.append(f'{where}: unknown column {name!r}')
+            problems.append(f'{where}: unknown column {name!r}')
     values = [
-        _read_cell(name, str(cells.get(name) or '').strip(), where, wrong)
+        _parse_cell(name, str(cells.get(name) or '').strip(), where, problems)
         for name in COLUMNS
     ]
     return Row(*values)
 
 
-def check_rows(listed: list[dict]) -> list[Row]:
-    """Return the rows for cells by name; the first row is row 2.
+def check_rows(records: list[dict]) -> list[Row]:
+    """Return the rows for records of cells by column name.
+
+    Errors count rows from 2, as the sheet's first row is its header.
 
-    :raises BadSheet: with one line per error; no row is taken then.
+    :raises BadSheet: with one line per error.
     """
-    wrong: list[str] = []
-    if len(listed) > MAX_ROWS:
-        raise errors.BadSheet(f'{len(listed)} rows; at most {MAX_ROWS}')
+    problems: list[str] = []
+    if len(records) > MAX_ROWS:
+        raise errors.BadSheet(f'{len(records)} rows; at most {MAX_ROWS}')
     rows = []
     seen: dict[str, int] = {}
-    for number, cells in enumerate(listed, start=2):
-        row = to_row(cells, f'row {number}', wrong)
+    for number, cells in enumerate(records, start=2):
+        row = to_row(cells, f'row {number}', problems)
         first = seen.setdefault(row_key(row), number)
         if first != number:
-            wrong.append(f'row {number}: the same key as row {first}')
+            problems.append(f'row {number}: same key as row {first}')
         rows.append(row)
-    if wrong:
-        raise errors.BadSheet('\n'.join(wrong))
+    if problems:
+        raise errors.BadSheet('\n'.join(problems))
     return rows
 
 
 def diff_rows(old: list[Row], new: list[Row]) -> list[str]:
-    """Return one line for each row that differs, in the order of keys."""
+    """Return one line for each row that differs, sorted by key."""
     before = {row_key(row): row for row in old}
     after = {row_key(row): row for row in new}
     lines = []
@@ -199,14 +206,14 @@
         elif key not in before:
             lines.append(f'+ {key}')
         elif before[key] != after[key]:
-            lines.append(f'~ {key}: {_changed(before[key], after[key])}')
+            lines.append(f'~ {key}: {_cell_changes(before[key], after[key])}')
     return lines
 
 
-def _changed(old: Row, new: Row) -> str:
-    left, right = to_cells(old), to_cells(new)
+def _cell_changes(old: Row, new: Row) -> str:
+    before, after = to_cells(old), to_cells(new)
     return ', '.join(
-        f'{name} {left[name]} -> {right[name]}'
+        f'{name} {before[name]} -> {after[name]}'
         for name in COLUMNS
-        if left[name] != right[name]
+        if before[name] != after[name]
     )
