--- a/mountridge/documents/tables.py
+++ b/mountridge/documents/tables.py
@@ -95,20 +95,20 @@
 
 #: In the order of the columns of the sheet.
 COLUMNS: dict[str, Column] = {
-    'team': Column(_parse_name, None, '', 'who sends the requests'),
-    'service': Column(_parse_name, None, '', 'the model or plain service'),
-    'expert_group': Column(_parse_group, '*', '', 'group of ranks; * is any'),
+    'team': Column(_parse_name, None, '', 'team that sends the requests'),
+    'service': Column(_parse_name, None, '', 'model or other service'),
+    'expert_group': Column(_parse_group, '*', '', 'group of ranks; * for any'),
     'weight': Column(
-        _float_parser(0.01, 1000), 1.0, '', 'share of a runner among teams'
+        _float_parser(0.01, 1000), 1.0, '', 'relative share of a runner'
     ),
     'concurrency': Column(
         _integer_parser(1, 1000000),
         64,
         'requests',
-        'most at once, all gateways',
+        'concurrent, over all gateways',
     ),
     'rate_per_s': Column(
-        _float_parser(0.01, 1e6), 100.0, 'requests/s', 'most begun in a second'
+        _float_parser(0.01, 1e6), 100.0, 'requests/s', 'started per second'
     ),
     'queue_s': Column(
         _float_parser(0, 600), 5.0, 's', 'longest wait for a runner'
@@ -117,10 +117,10 @@
         _parse_priority, 'interactive', '', 'alarm, interactive or draft'
     ),
     'deadline_s': Column(
-        _float_parser(0.1, 3600), 120.0, 's', 'longest time for the answer'
+        _float_parser(0.1, 3600), 120.0, 's', 'longest time for the response'
     ),
     'repeatable': Column(
-        _parse_bool, True, 'yes/no', 'may a request be run again'
+        _parse_bool, True, 'yes/no', 'whether requests may be retried'
     ),
     'skew_weight': Column(
         _float_parser(0, 1000), 1.0, '', 'cost of 1 s of step-time skew'
