--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -494,7 +494,7 @@
 
 @then('{count:d} random inputs of {kind} end so')
 def random_inputs(context, count, kind):
-    good = messages.encode(messages.Ask('r', 1), 7)
+    good = messages.encode(messages.ReadDecisions('r', 1), 7)
 
     def mixed(text):
         return strategies.tuples(
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -185,7 +185,7 @@
             attempt.readers[peer.route] = name
         return messages.Barred(message.attempt_id, errors.RAN)
 
-    def on_ask(self, peer, message: messages.Ask) -> messages.Asked:
+    def on_ask(self, peer, message: messages.ReadDecisions) -> messages.Asked:
         """Return decisions about a request, or the newest ones."""
         return messages.Asked(self.log.find(message.request_id, message.count))
 
@@ -468,7 +468,7 @@
     app.handlers[messages.Cancel] = agent.on_cancel
     app.handlers[messages.Revoke] = agent.on_revoke
     app.handlers[messages.Attach] = agent.on_attach
-    app.handlers[messages.Ask] = agent.on_ask
+    app.handlers[messages.ReadDecisions] = agent.on_ask
     app.tasks += [agent.outbox.flush, agent.report, agent.serve]
     app.drain.append(agent.drain)
     app.dumpers['agent'] = agent.dump
--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -138,7 +138,7 @@
         async def one(member) -> None:
             try:
                 caller = app.connect(member['address'], member['name'])
-                question = messages.Ask(request_id, count)
+                question = messages.ReadDecisions(request_id, count)
                 reply = await caller.call(question, 2.0)
                 found.extend(reply.records)
             except errors.NoController:
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -373,12 +373,12 @@
     """Return a gateway whose handlers, tasks and hooks are in ``app``."""
     gateway = Gateway(app)
 
-    def on_ask(peer, message: messages.Ask) -> messages.Asked:
+    def on_ask(peer, message: messages.ReadDecisions) -> messages.Asked:
         return messages.Asked(
             gateway.log.find(message.request_id, message.count)
         )
 
-    app.handlers[messages.Ask] = on_ask
+    app.handlers[messages.ReadDecisions] = on_ask
     app.tasks += [gateway.hold_lease, gateway.dispatcher.watch]
     app.drain.append(gateway.drain)
     app.dumpers['gateway'] = gateway.dump
--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -52,7 +52,7 @@
 )
 
 __all__ = [
-    'Ask',
+    'ReadDecisions',
     'Asked',
     'Attach',
     'Barred',
@@ -246,7 +246,7 @@
     waiting_for: list[str]
 
 
-class Ask(typing.NamedTuple):
+class ReadDecisions(typing.NamedTuple):
     """Operator to any process: decisions about a request, or the latest."""
 
     request_id: str
@@ -359,7 +359,7 @@
     PutReply,
     Table,
     TableReply,
-    Ask,
+    ReadDecisions,
     Asked,
     Dump,
     Dumped,
