--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -185,9 +185,13 @@
             attempt.readers[peer.route] = name
         return messages.Barred(message.attempt_id, errors.RAN)
 
-    def on_ask(self, peer, message: messages.ReadDecisions) -> messages.Asked:
+    def on_ask(
+        self, peer, message: messages.ReadDecisions
+    ) -> messages.DecisionsReply:
         """Return decisions about a request, or the newest ones."""
-        return messages.Asked(self.log.find(message.request_id, message.count))
+        return messages.DecisionsReply(
+            self.log.find(message.request_id, message.count)
+        )
 
     # Running.
 
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -373,8 +373,10 @@
     """Return a gateway whose handlers, tasks and hooks are in ``app``."""
     gateway = Gateway(app)
 
-    def on_ask(peer, message: messages.ReadDecisions) -> messages.Asked:
-        return messages.Asked(
+    def on_ask(
+        peer, message: messages.ReadDecisions
+    ) -> messages.DecisionsReply:
+        return messages.DecisionsReply(
             gateway.log.find(message.request_id, message.count)
         )
 
--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -53,7 +53,7 @@
 
 __all__ = [
     'ReadDecisions',
-    'Asked',
+    'DecisionsReply',
     'Attach',
     'Barred',
     'Cancel',
@@ -253,7 +253,7 @@
     count: int
 
 
-class Asked(typing.NamedTuple):
+class DecisionsReply(typing.NamedTuple):
     """Decision records as mappings."""
 
     records: list[dict]
@@ -360,7 +360,7 @@
     Table,
     TableReply,
     ReadDecisions,
-    Asked,
+    DecisionsReply,
     Dump,
     Dumped,
     Stop,
