--- a/mountridge/application.py
+++ b/mountridge/application.py
@@ -134,11 +134,11 @@
 
     def _dump(self, peer: Peer, message: messages.Dump):
         state = {name: dumper() for name, dumper in self.dumpers.items()}
-        return messages.Dumped({'name': self.name, **state})
+        return messages.DumpReply({'name': self.name, **state})
 
     def _stop(self, peer: Peer, message: messages.Stop):
         self.stopping.set()
-        return messages.Dumped({'name': self.name, 'stopping': True})
+        return messages.DumpReply({'name': self.name, 'stopping': True})
 
     async def _receive(self) -> None:
         while True:
--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -67,7 +67,7 @@
     'Release',
     'ClaimReply',
     'Dump',
-    'Dumped',
+    'DumpReply',
     'Envelope',
     'Failure',
     'Fence',
@@ -263,7 +263,7 @@
     """Operator to any process: show your state."""
 
 
-class Dumped(typing.NamedTuple):
+class DumpReply(typing.NamedTuple):
     """State of a process as plain data."""
 
     state: dict
@@ -362,7 +362,7 @@
     ReadDecisions,
     DecisionsReply,
     Dump,
-    Dumped,
+    DumpReply,
     Stop,
     Failure,
     Raft,
