--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -85,7 +85,7 @@
                 self.keeper.nudge()
                 self._follow_view()
 
-    def on_greet(self, peer, message: messages.Greet) -> messages.Load:
+    def on_greet(self, peer, message: messages.WatchLoad) -> messages.Load:
         """Tell a gateway the load, and report to it for a while."""
         return self.load(self.outbox.link(peer.route))
 
@@ -467,7 +467,7 @@
 ) -> Agent:
     """Return an agent whose handlers, tasks and hooks are in ``app``."""
     agent = Agent(app, upstream)
-    app.handlers[messages.Greet] = agent.on_greet
+    app.handlers[messages.WatchLoad] = agent.on_greet
     app.handlers[messages.Ticket] = agent.on_ticket
     app.handlers[messages.Cancel] = agent.on_cancel
     app.handlers[messages.Revoke] = agent.on_revoke
--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -117,7 +117,7 @@
         state = self.runners.states[name]
         if state.load is not None:
             return
-        load = await self._caller(name).call(messages.Greet(), GREET_S)
+        load = await self._caller(name).call(messages.WatchLoad(), GREET_S)
         self._heard(load, False)
 
     # One attempt.
--- a/mountridge/messages/attempt.py
+++ b/mountridge/messages/attempt.py
@@ -10,7 +10,7 @@
     'Cancel',
     'Frame',
     'Frames',
-    'Greet',
+    'WatchLoad',
     'Load',
     'Revoke',
     'Ticket',
@@ -72,7 +72,7 @@
     load: Load
 
 
-class Greet(typing.NamedTuple):
+class WatchLoad(typing.NamedTuple):
     """Gateway to agent: tell me your load now and for a while."""
 
 
