--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -153,7 +153,9 @@
         else:
             attempt.scope.cancel()
 
-    def on_revoke(self, peer, message: messages.Revoke) -> messages.Barred:
+    def on_revoke(
+        self, peer, message: messages.Revoke
+    ) -> messages.AttemptReply:
         """Bar an attempt that has not begun, for good."""
         outcome = errors.UNKNOWN
         if message.incarnation == self.app.incarnation:
@@ -162,16 +164,18 @@
         if outcome == errors.NOT_RUN:
             self.queue.remove(message.attempt_id)
             self.attempts.pop(message.attempt_id, None)
-        return messages.Barred(message.attempt_id, outcome)
+        return messages.AttemptReply(message.attempt_id, outcome)
 
-    def on_attach(self, peer, message: messages.Attach) -> messages.Barred:
+    def on_attach(
+        self, peer, message: messages.Attach
+    ) -> messages.AttemptReply:
         """Send the answer of an attempt, from its start, to the asker."""
         attempt = self.attempts.get(message.attempt_id)
         attempt = attempt or self.ended.get(message.attempt_id)
         if message.incarnation != self.app.incarnation or not attempt:
-            return messages.Barred(message.attempt_id, errors.UNKNOWN)
+            return messages.AttemptReply(message.attempt_id, errors.UNKNOWN)
         if attempt.position > attempt.kept_bytes:
-            return messages.Barred(message.attempt_id, errors.UNKNOWN)
+            return messages.AttemptReply(message.attempt_id, errors.UNKNOWN)
         name = message.as_attempt_id
         data = b''.join(attempt.kept)
         frame = messages.Frame(
@@ -183,7 +187,7 @@
             self.outbox.put(peer.route, last)
         else:
             attempt.readers[peer.route] = name
-        return messages.Barred(message.attempt_id, errors.RAN)
+        return messages.AttemptReply(message.attempt_id, errors.RAN)
 
     def on_ask(
         self, peer, message: messages.ReadDecisions
--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -15,7 +15,7 @@
 from mountridge import errors
 from mountridge.messages.attempt import (
     Attach,
-    Barred,
+    AttemptReply,
     Cancel,
     Frame,
     Frames,
@@ -55,7 +55,7 @@
     'ReadDecisions',
     'DecisionsReply',
     'Attach',
-    'Barred',
+    'AttemptReply',
     'Cancel',
     'Change',
     'Changes',
@@ -346,7 +346,7 @@
     Frames,
     Cancel,
     Revoke,
-    Barred,
+    AttemptReply,
     Attach,
     Load,
     Renew,
--- a/mountridge/messages/attempt.py
+++ b/mountridge/messages/attempt.py
@@ -6,7 +6,7 @@
 
 __all__ = [
     'Attach',
-    'Barred',
+    'AttemptReply',
     'Cancel',
     'Frame',
     'Frames',
@@ -89,7 +89,7 @@
     incarnation: str
 
 
-class Barred(typing.NamedTuple):
+class AttemptReply(typing.NamedTuple):
     """Answer to `Revoke`: ``outcome`` is ran, not run or unknown."""
 
     attempt_id: str
