--- a/bench/control.py
+++ b/bench/control.py
@@ -215,7 +215,9 @@
     version = reply.version
     for number in range(PUTS):
         put_s = time.perf_counter()
-        put = messages.Put(f'{count}-{number}', version, 'b', _rows(number))
+        put = messages.PutTable(
+            f'{count}-{number}', version, 'b', _rows(number)
+        )
         done = await leader.call(put, 5)
         version = done.version
         while True:
--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -475,7 +475,7 @@
     async def put(self, sheet, base, operation, limit_s=20):
         """Put a sheet through whoever leads; resend until answered."""
         rows = [tables.to_cells(r) for r in sheets.read_sheet(sheet)]
-        message = messages.Put(operation, base, 'op', rows)
+        message = messages.PutTable(operation, base, 'op', rows)
         with trio.fail_after(limit_s):
             while True:
                 part = self.parts.get(self.leader)
--- a/mountridge/clitable.py
+++ b/mountridge/clitable.py
@@ -89,7 +89,7 @@
 ) -> None:
     """Replace the table by a sheet, if the base version still holds."""
     rows = _read_file(sheet)
-    message = messages.Put(
+    message = messages.PutTable(
         operation or utils.fresh_id(),
         base,
         getpass.getuser(),
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -255,7 +255,7 @@
 
     # Operators and claims.
 
-    async def put(self, peer, put: messages.Put) -> messages.PutReply:
+    async def put(self, peer, put: messages.PutTable) -> messages.PutReply:
         """Take a new table."""
         self.replica.check_leader()
         return await self.propose(
@@ -377,7 +377,7 @@
     controller = Controller(app, make_replica)
     office = changes.Changes(app, controller.replica)
     app.handlers[messages.Renew] = controller.renew
-    app.handlers[messages.Put] = controller.put
+    app.handlers[messages.PutTable] = controller.put
     app.handlers[messages.Table] = controller.table
     app.handlers[messages.Claim] = controller.claim
     app.handlers[messages.PutRoutes] = controller.put_routes
--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -78,7 +78,7 @@
     'Members',
     'MembersReply',
     'Outcome',
-    'Put',
+    'PutTable',
     'PutReply',
     'Renew',
     'Revoke',
@@ -214,7 +214,7 @@
     answer: bytes
 
 
-class Put(typing.NamedTuple):
+class PutTable(typing.NamedTuple):
     """Operator to leader: new rows over a base version."""
 
     operation_id: str
@@ -355,7 +355,7 @@
     Claim,
     ClaimReply,
     Outcome,
-    Put,
+    PutTable,
     PutReply,
     Table,
     TableReply,
