--- a/mountridge/clitable.py
+++ b/mountridge/clitable.py
@@ -97,7 +97,7 @@
     )
     click.echo(f'operation {message.operation_id}', err=True)
 
-    async def work(app: application.Application) -> messages.PutReply:
+    async def work(app: application.Application) -> messages.PutTableReply:
         leader = members.Leader(app)
         reply = await leader.call(message, clitools.CALL_S)
         if wait and reply.accepted:
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -255,7 +255,9 @@
 
     # Operators and claims.
 
-    async def put(self, peer, put: messages.PutTable) -> messages.PutReply:
+    async def put(
+        self, peer, put: messages.PutTable
+    ) -> messages.PutTableReply:
         """Take a new table."""
         self.replica.check_leader()
         return await self.propose(
--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -79,7 +79,7 @@
     'MembersReply',
     'Outcome',
     'PutTable',
-    'PutReply',
+    'PutTableReply',
     'Renew',
     'Revoke',
     'Share',
@@ -223,7 +223,7 @@
     rows: list[dict]
 
 
-class PutReply(typing.NamedTuple):
+class PutTableReply(typing.NamedTuple):
     """The result of a put; the same for each resend."""
 
     accepted: bool
@@ -356,7 +356,7 @@
     ClaimReply,
     Outcome,
     PutTable,
-    PutReply,
+    PutTableReply,
     Table,
     TableReply,
     ReadDecisions,
--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -48,7 +48,7 @@
     removed: list[messages.Change]
     version: int
     versions: list[VersionRecord]
-    operations: list[tuple[str, messages.PutReply]]
+    operations: list[tuple[str, messages.PutTableReply]]
     claims: list[claims.ClaimRecord]
     clock_s: float
     floor_s: float
@@ -61,7 +61,7 @@
         self.view = views.View()
         self.version = 0
         self.versions: list[VersionRecord] = []
-        self.operations: dict[str, messages.PutReply] = {}
+        self.operations: dict[str, messages.PutTableReply] = {}
         self.claims = claims.Claims()
         #: Unpacked beside the view, for what is looked up often.
         self.rows_by_key: dict[str, tables.Row] = {}
@@ -159,14 +159,14 @@
 
 def _put(
     machine: StateMachine, index: int, command: commands.PutTable
-) -> messages.PutReply:
+) -> messages.PutTableReply:
     known = machine.operations.get(command.operation_id)
     if known is not None:
         return known
     new = tables.check_rows(command.rows)
     old = machine.rows_by_key
     if command.base_version != machine.version:
-        reply = messages.PutReply(
+        reply = messages.PutTableReply(
             False,
             machine.version,
             index,
@@ -180,7 +180,7 @@
         )
         machine.versions.append(record)
         del machine.versions[:-KEPT_VERSIONS]
-        reply = messages.PutReply(True, machine.version, index, [])
+        reply = messages.PutTableReply(True, machine.version, index, [])
     machine.operations[command.operation_id] = reply
     if len(machine.operations) > KEPT_OPERATIONS:
         del machine.operations[next(iter(machine.operations))]
