--- a/bench/control.py
+++ b/bench/control.py
@@ -202,7 +202,7 @@
     for each in listed:
         app.start_task(each.run)
     leader = members.Leader(app)
-    reply = await leader.call(messages.Table(), 5)
+    reply = await leader.call(messages.ReadTable(), 5)
     await trio.sleep(6)
     pid = made.processes['c1'].pid
     cpu_s, begun_s = path.cpu_s(pid), time.perf_counter()
@@ -221,7 +221,7 @@
         done = await leader.call(put, 5)
         version = done.version
         while True:
-            shown = await leader.call(messages.Table(), 5)
+            shown = await leader.call(messages.ReadTable(), 5)
             if shown.in_force_index >= done.index:
                 break
             await trio.sleep(0.01)
--- a/mountridge/clitable.py
+++ b/mountridge/clitable.py
@@ -39,7 +39,7 @@
 
     The version goes to standard error: give it to `table put --base`.
     """
-    reply = clitools.call_leader(settings_file, messages.Table())
+    reply = clitools.call_leader(settings_file, messages.ReadTable())
     rows = [tables.Row(**row) for row in reply.rows]
     click.echo(sheets.write_sheet(rows), nl=False)
     click.echo(f'version {reply.version}', err=True)
@@ -58,7 +58,7 @@
 def diff(settings_file: str, sheet: str) -> None:
     """Show, row by row, what a sheet would change."""
     new = _read_file(sheet)
-    reply = clitools.call_leader(settings_file, messages.Table())
+    reply = clitools.call_leader(settings_file, messages.ReadTable())
     old = [tables.Row(**row) for row in reply.rows]
     lines = tables.diff_rows(old, new)
     click.echo('\n'.join(lines) if lines else 'no changes')
@@ -66,7 +66,7 @@
 
 async def _wait_in_force(leader: members.Leader, index: int) -> None:
     while True:
-        reply = await leader.call(messages.Table(), clitools.CALL_S)
+        reply = await leader.call(messages.ReadTable(), clitools.CALL_S)
         if reply.in_force_index >= index:
             return
         await trio.sleep(0.05)
@@ -122,7 +122,7 @@
 @clitools.AS_JSON
 def table_log(settings_file: str, as_json: bool) -> None:
     """Show who made which version, when, and whether it is in force."""
-    reply = clitools.call_leader(settings_file, messages.Table())
+    reply = clitools.call_leader(settings_file, messages.ReadTable())
     listed = [
         {
             'version': version,
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -270,7 +270,7 @@
             )
         )
 
-    async def table(self, peer, _: messages.Table) -> messages.TableReply:
+    async def table(self, peer, _: messages.ReadTable) -> messages.TableReply:
         """Return the newest table, its log, and what is in force."""
         await self.replica.confirm()
         now_s = self.app.now_s()
@@ -380,7 +380,7 @@
     office = changes.Changes(app, controller.replica)
     app.handlers[messages.Renew] = controller.renew
     app.handlers[messages.PutTable] = controller.put
-    app.handlers[messages.Table] = controller.table
+    app.handlers[messages.ReadTable] = controller.table
     app.handlers[messages.Claim] = controller.claim
     app.handlers[messages.PutRoutes] = controller.put_routes
     app.handlers[messages.ReadRoutes] = controller.read_routes
--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -84,7 +84,7 @@
     'Revoke',
     'Share',
     'Stop',
-    'Table',
+    'ReadTable',
     'TableReply',
     'Ticket',
     'VERSION',
@@ -232,7 +232,7 @@
     diff: list[str]  # rows that differ, where it was refused
 
 
-class Table(typing.NamedTuple):
+class ReadTable(typing.NamedTuple):
     """Operator to leader: read the newest table and its log."""
 
 
@@ -357,7 +357,7 @@
     Outcome,
     PutTable,
     PutTableReply,
-    Table,
+    ReadTable,
     TableReply,
     ReadDecisions,
     DecisionsReply,
