--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -131,7 +131,7 @@
 
     async def work(app: application.Application) -> list[dict]:
         state = await members.Leader(app).call(
-            messages.Members(), clitools.CALL_S
+            messages.ReadMembers(), clitools.CALL_S
         )
         found: list[dict] = []
 
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -325,7 +325,7 @@
             commands.CloseClaim(outcome, self.app.wall_s())
         )
 
-    async def list_members(self, peer, _: messages.Members):
+    async def list_members(self, peer, _: messages.ReadMembers):
         """Return the members that are live or leaving."""
         self.replica.check_leader()
         listed = [m._asdict() for m in self.machine.members_by_name.values()]
@@ -392,7 +392,7 @@
     app.handlers[messages.ReadQuarantine] = controller.quarantine.on_read
     app.handlers[messages.Release] = controller.quarantine.on_release
     app.handlers[messages.Outcome] = controller.outcome
-    app.handlers[messages.Members] = controller.list_members
+    app.handlers[messages.ReadMembers] = controller.list_members
     app.handlers[messages.Raft] = controller.replica.on_raft
     app.handlers[messages.Admin] = office.on_admin
     app.handlers[messages.WhoLeads] = leadership.Leadership(
--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -75,7 +75,7 @@
     'Frames',
     'Grant',
     'Load',
-    'Members',
+    'ReadMembers',
     'MembersReply',
     'Outcome',
     'PutTable',
@@ -273,7 +273,7 @@
     """Operator to any process: begin a planned stop."""
 
 
-class Members(typing.NamedTuple):
+class ReadMembers(typing.NamedTuple):
     """Operator to leader: which processes are there?"""
 
 
@@ -368,7 +368,7 @@
     Raft,
     Admin,
     AdminReply,
-    Members,
+    ReadMembers,
     MembersReply,
     WatchLoad,
     Join,
