--- a/mountridge/control/quarantineoffice.py
+++ b/mountridge/control/quarantineoffice.py
@@ -65,7 +65,7 @@
 
     async def on_report(
         self, peer: application.Peer, report: messages.CrashReport
-    ) -> messages.CrashesTaken:
+    ) -> messages.CrashReportReply:
         """Count crashes; hold back what they prove, free what ended well."""
         self._replica.check_leader()
         now_s = self.app.now_s()
@@ -73,7 +73,7 @@
             await self._clear(digest, now_s - age_s)
         for crash in report.crashes:
             await self._count(crash, now_s)
-        return messages.CrashesTaken()
+        return messages.CrashReportReply()
 
     async def _clear(self, digest: bytes, good_s: float) -> None:
         """Drop crashes before a good end, and a hold that stood on them.
--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -26,7 +26,7 @@
 )
 from mountridge.messages.quarantine import (
     CrashReport,
-    CrashesTaken,
+    CrashReportReply,
     QuarantineReply,
     ReadQuarantine,
     Release,
@@ -61,7 +61,7 @@
     'Changes',
     'Claim',
     'CrashReport',
-    'CrashesTaken',
+    'CrashReportReply',
     'QuarantineReply',
     'ReadQuarantine',
     'Release',
@@ -389,7 +389,7 @@
     SetHall,
     WhoLeads,
     CrashReport,
-    CrashesTaken,
+    CrashReportReply,
     ReadQuarantine,
     QuarantineReply,
     Release,
--- a/mountridge/messages/quarantine.py
+++ b/mountridge/messages/quarantine.py
@@ -8,7 +8,7 @@
 
 __all__ = [
     'CrashReport',
-    'CrashesTaken',
+    'CrashReportReply',
     'QuarantineReply',
     'ReadQuarantine',
     'Release',
@@ -26,7 +26,7 @@
     good: list[tuple[bytes, float]]
 
 
-class CrashesTaken(typing.NamedTuple):
+class CrashReportReply(typing.NamedTuple):
     """The leader has counted a report, and has held back what it proves.
 
     That has been sent before this answer.
