--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -84,7 +84,7 @@
             raise errors.NoController('no reply in time')
 
         async def answer(message):
-            asks = isinstance(message, messages.WhoLeads)
+            asks = isinstance(message, messages.FindLeader)
             if not asks:
                 self.sent.append(address)
             if trio.current_time() < self.leads_from_s:
@@ -238,7 +238,7 @@
         asked = next(n for n in world.voters() if n != lost)
         app = world.processes['west3']
         caller = app.connect(world.address_of(asked), asked)
-        question = messages.WhoLeads(world.address_of(lost))
+        question = messages.FindLeader(world.address_of(lost))
         world.kill(lost)
         context.named = ''
         context.asked = 0
--- a/mountridge/control/leadership.py
+++ b/mountridge/control/leadership.py
@@ -28,7 +28,7 @@
         self.replica = replica
 
     async def on_who_leads(
-        self, peer, question: messages.WhoLeads
+        self, peer, question: messages.FindLeader
     ) -> messages.Registered:
         """Answer as the leader, or refuse and name it once it is known.
 
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -435,7 +435,7 @@
     messages.Release,
     messages.Join,
     messages.RankReport,
-    messages.WhoLeads,
+    messages.FindLeader,
 )
 
 
--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -108,7 +108,7 @@
     'Registered',
     'RoutesReply',
     'SetHall',
-    'WhoLeads',
+    'FindLeader',
     'decode',
     'encode',
 ]
@@ -331,7 +331,7 @@
     addresses: dict[str, str]
 
 
-class WhoLeads(typing.NamedTuple):
+class FindLeader(typing.NamedTuple):
     """Any process to a controller: `Registered` is said by the leader only.
 
     Others refuse and name it, as soon as they know one that is not
@@ -387,7 +387,7 @@
     ReadHalls,
     HallsReply,
     SetHall,
-    WhoLeads,
+    FindLeader,
     CrashReport,
     CrashReportReply,
     ReadQuarantine,
--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -210,7 +210,7 @@
     async def _ask_who_leads(
         self, address: str, besides: str, nursery: trio.Nursery
     ) -> None:
-        question = messages.WhoLeads(besides)
+        question = messages.FindLeader(besides)
         while True:
             try:
                 await self._caller(address).call(question, CALL_S)
