--- a/mountridge/control/leadership.py
+++ b/mountridge/control/leadership.py
@@ -41,7 +41,7 @@
                     return messages.Registered()
                 except errors.NotLeader as refusal:
                     named = getattr(refusal, 'leader_address', '')
-                    if named and named != question.besides:
+                    if named and named != question.excluded:
                         raise
                 await self.replica.stepped()
         raise errors.NotLeader()
--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -338,7 +338,7 @@
     ``besides``, the address of one that the process has found silent.
     """
 
-    besides: str
+    excluded: str
 
 
 _KINDS: tuple[type, ...] = (
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1016,7 +1016,7 @@
     ),
     Mutant(
         'losses: a lost leader is named to who looks for another',
-        'leadership', 'if named and named != question.besides:', 'if named:',
+        'leadership', 'if named and named != question.excluded:', 'if named:',
         'losses', 'A controller tells',
     ),
     Mutant(
