--- a/mountridge/messages/rank.py
+++ b/mountridge/messages/rank.py
@@ -37,7 +37,7 @@
     order: ranks.RankOrder | None
     packed: mapdeltas.PackedMap
     report_s: float  # longest rest between reports; 0: as the settings say
-    hurry: bool  # the leader wants to know each pass
+    report_each_step: bool  # the leader wants to know each pass
     wants_experts: bool  # the leader does not know what the rank holds
     wants_counts: bool
 
--- a/mountridge/sidecar.py
+++ b/mountridge/sidecar.py
@@ -220,7 +220,7 @@
             return
         self._fence = reply.term
         self._report_s = reply.report_s or self._usual_s
-        self._watched = reply.hurry
+        self._watched = reply.report_each_step
         self._tell_counts = reply.wants_counts
         if reply.order is not None:
             await self._follow(reply.term, reply.order, reply.packed)
