--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -236,7 +236,9 @@
 
 @then('reports arrive at most {most:d} times a second while no map changes')
 def check_report_rate(context, most):
-    per_s = sum(1 / (reply.report_s or 0.12) for reply in context.replies)
+    per_s = sum(
+        1 / (reply.report_interval_s or 0.12) for reply in context.replies
+    )
     assert per_s <= most, per_s
 
 
--- a/mountridge/messages/rank.py
+++ b/mountridge/messages/rank.py
@@ -36,7 +36,9 @@
     #: Without the map; `packed` has it, for PREPARE.
     order: ranks.RankOrder | None
     packed: mapdeltas.PackedMap
-    report_s: float  # longest rest between reports; 0: as the settings say
+    report_interval_s: (
+        float  # longest rest between reports; 0: as the settings say
+    )
     report_each_step: bool  # the leader wants to know each pass
     wants_experts: bool  # the leader does not know what the rank holds
     wants_counts: bool
--- a/mountridge/sidecar.py
+++ b/mountridge/sidecar.py
@@ -219,7 +219,7 @@
             # From a leader that does not know of its successor.
             return
         self._fence = reply.term
-        self._report_s = reply.report_s or self._usual_s
+        self._report_s = reply.report_interval_s or self._usual_s
         self._watched = reply.report_each_step
         self._tell_counts = reply.wants_counts
         if reply.order is not None:
