--- a/mountridge/messages/rank.py
+++ b/mountridge/messages/rank.py
@@ -58,7 +58,7 @@
     instance_id: str
     running: int
     waiting: int
-    pace_percent: int  # over 100: it is slow; a byte where it is not
+    slowdown_percent: int  # over 100: it is slow; a byte where it is not
     group: int  # a number that all ranks of a group share; 0: in none
     is_open: bool  # its group makes passes, or it is in none
 
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -133,7 +133,7 @@
             self.rest_s = max(LEAST_REST_S, rest_s)
         backend.told_s = now_s
         backend.heard(load.running, load.waiting, now_s)
-        backend.pace = load.pace_percent / 100
+        backend.pace = load.slowdown_percent / 100
         backend.group = load.group
         if backend.closure.tell(load.is_open, now_s):
             self._opened(backend)
