--- a/mountridge/control/quarantineoffice.py
+++ b/mountridge/control/quarantineoffice.py
@@ -69,7 +69,7 @@
         """Count crashes; hold back what they prove, free what ended well."""
         self._replica.check_leader()
         now_s = self.app.now_s()
-        for digest, age_s in report.good:
+        for digest, age_s in report.successes:
             await self._clear(digest, now_s - age_s)
         for crash in report.crashes:
             await self._count(crash, now_s)
--- a/mountridge/messages/quarantine.py
+++ b/mountridge/messages/quarantine.py
@@ -23,7 +23,7 @@
 
     crashes: list[quarantines.Crash]
     #: Digest and age in seconds of the last good end.
-    good: list[tuple[bytes, float]]
+    successes: list[tuple[bytes, float]]
 
 
 class CrashReportReply(typing.NamedTuple):
--- a/mountridge/routing/quarantine.py
+++ b/mountridge/routing/quarantine.py
@@ -155,7 +155,7 @@
 
     def reported(self, report: messages.CrashReport) -> None:
         """Note that the leader has taken a report."""
-        for digest, _ in report.good:
+        for digest, _ in report.successes:
             self._cleared.pop(digest, None)
 
     def _forget(self, now_s: float) -> None:
