--- a/mountridge/messages/quarantine.py
+++ b/mountridge/messages/quarantine.py
@@ -40,7 +40,7 @@
 class QuarantineReply(typing.NamedTuple):
     """The requests that are or were held back, the latest ones last."""
 
-    held: list[quarantines.QuarantinedRequest]
+    requests: list[quarantines.QuarantinedRequest]
 
 
 class Release(typing.NamedTuple):
--- a/mountridge/routing/crashreports.py
+++ b/mountridge/routing/crashreports.py
@@ -85,7 +85,7 @@
         :raises NoController: it can't be told.
         """
         reply = await self._call(messages.ReadQuarantine(), CALL_S)
-        return reply.held
+        return reply.requests
 
     async def release(
         self, digest: bytes
@@ -97,4 +97,4 @@
         """
         reply = await self._call(messages.Release(digest), CALL_S)
         logger.info('request release ordered', digest=digest.hex())
-        return reply.held
+        return reply.requests
