--- a/mountridge/dispatch/tickets.py
+++ b/mountridge/dispatch/tickets.py
@@ -34,7 +34,7 @@
         self._forget(now_s)
         if ticket.incarnation != self.incarnation:
             raise errors.StaleIncarnation('for an earlier incarnation')
-        if now_s - ticket.agent_s > STALE_S:
+        if now_s - ticket.sent_s > STALE_S:
             raise errors.StaleIncarnation('the ticket came too late')
         if ticket.attempt_id in self._states:
             raise errors.StaleIncarnation('the ticket was seen before')
--- a/mountridge/messages/attempt.py
+++ b/mountridge/messages/attempt.py
@@ -32,7 +32,7 @@
     queue_s: float  # longest time in the agent's queue
     deadline_s: float  # time left in all
     claim_key: str  # '' where the call may be repeated
-    agent_s: float  # the agent's own clock, as the gateway reckons it
+    sent_s: float  # the agent's own clock, as the gateway reckons it
     reason: str  # the placing decision, kept by the agent too
     seq: int  # counts the tickets from this gateway to this agent
 
