--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -85,7 +85,9 @@
                 self.keeper.nudge()
                 self._follow_view()
 
-    def on_greet(self, peer, message: messages.WatchLoad) -> messages.Load:
+    def on_watch_load(
+        self, peer, message: messages.WatchLoad
+    ) -> messages.Load:
         """Tell a gateway the load, and report to it for a while."""
         return self.load(self.outbox.link(peer.route))
 
@@ -189,7 +191,7 @@
             attempt.readers[peer.route] = name
         return messages.AttemptReply(message.attempt_id, errors.RAN)
 
-    def on_ask(
+    def on_read_decisions(
         self, peer, message: messages.ReadDecisions
     ) -> messages.DecisionsReply:
         """Return decisions about a request, or the newest ones."""
@@ -471,12 +473,12 @@
 ) -> Agent:
     """Return an agent whose handlers, tasks and hooks are in ``app``."""
     agent = Agent(app, upstream)
-    app.handlers[messages.WatchLoad] = agent.on_greet
+    app.handlers[messages.WatchLoad] = agent.on_watch_load
     app.handlers[messages.Ticket] = agent.on_ticket
     app.handlers[messages.Cancel] = agent.on_cancel
     app.handlers[messages.Revoke] = agent.on_revoke
     app.handlers[messages.Attach] = agent.on_attach
-    app.handlers[messages.ReadDecisions] = agent.on_ask
+    app.handlers[messages.ReadDecisions] = agent.on_read_decisions
     app.tasks += [agent.outbox.flush, agent.report, agent.serve]
     app.drain.append(agent.drain)
     app.dumpers['agent'] = agent.dump
--- a/mountridge/control/leadership.py
+++ b/mountridge/control/leadership.py
@@ -27,7 +27,7 @@
         self.app = app
         self.replica = replica
 
-    async def on_who_leads(
+    async def on_find_leader(
         self, peer, question: messages.FindLeader
     ) -> messages.Registered:
         """Answer as the leader, or refuse and name it once it is known.
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -397,7 +397,7 @@
     app.handlers[messages.Admin] = office.on_admin
     app.handlers[messages.FindLeader] = leadership.Leadership(
         app, controller.replica
-    ).on_who_leads
+    ).on_find_leader
     app.tasks += [controller.replica.run, controller.watch]
     app.handlers[messages.RankReport] = controller.groups.on_report
     app.tasks += [controller.expire, controller.tell_loads]
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -373,14 +373,14 @@
     """Return a gateway whose handlers, tasks and hooks are in ``app``."""
     gateway = Gateway(app)
 
-    def on_ask(
+    def on_read_decisions(
         peer, message: messages.ReadDecisions
     ) -> messages.DecisionsReply:
         return messages.DecisionsReply(
             gateway.log.find(message.request_id, message.count)
         )
 
-    app.handlers[messages.ReadDecisions] = on_ask
+    app.handlers[messages.ReadDecisions] = on_read_decisions
     app.tasks += [gateway.hold_lease, gateway.dispatcher.watch]
     app.drain.append(gateway.drain)
     app.dumpers['gateway'] = gateway.dump
