--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -4,8 +4,8 @@
 
 An envelope is the MessagePack array ``[VERSION, kind, seq, fields]``. A
 reply carries the ``seq`` of its request; a message that is not part of a
-call has ``seq`` 0. Fields are checked against the `NamedTuple` of the kind
-on decoding; anything else is a `BadMessage`.
+call has ``seq`` 0. Decoding checks the fields against the `NamedTuple` of
+the kind and raises `BadMessage` where they differ.
 """
 
 import typing
@@ -118,14 +118,14 @@
 
 
 class Fence(typing.NamedTuple):
-    """Order of authority: a later (term, index) bars all earlier ones."""
+    """Fencing token: a higher (term, index) invalidates all lower ones."""
 
     term: int
     index: int
 
 
 class Share(typing.NamedTuple):
-    """A part of one row's limits, held by one gateway for a lease."""
+    """A gateway's share of the limits of a row, valid with its lease."""
 
     row: str  # key of the row
     concurrency: float
@@ -133,7 +133,7 @@
 
 
 class Renew(typing.NamedTuple):
-    """Gateway or agent to leader: renew my lease, tell me what changed."""
+    """Gateway or agent to leader: renew the lease and request changes."""
 
     name: str
     kind: str
@@ -144,14 +144,14 @@
     services: list[str]
     expert_group: str
     slots: int
-    index: int  # last change in force here
+    index: int  # newest change that the sender has applied
     leaving: bool
-    demand: list[Share]  # gateways: what is wanted of each row
+    demand: list[Share]  # gateways: demand on each row
     held: list[Share]  # gateways: what may be in use of each row
 
 
 class Change(typing.NamedTuple):
-    """One entry of the shared view; ``value`` None where it is gone."""
+    """A change of an entry of the shared view; ``value`` None: removed."""
 
     index: int
     key: str
@@ -159,20 +159,20 @@
 
 
 class Grant(typing.NamedTuple):
-    """Leader to lease holder: the lease, and the changes past its index."""
+    """Leader to lease holder: the lease, and the changes after its index."""
 
     lease_s: float
     fence: Fence
     index: int
-    snapshot: bool  # the changes replace all that the holder had
+    snapshot: bool  # the changes replace the whole view of the holder
     changes: list[Change]
     shares: list[Share]
-    #: The controllers by name, with their addresses.
+    #: Addresses of the controllers, by name.
     controllers: dict[str, str] | None = None
 
 
 class Changes(typing.NamedTuple):
-    """Leader to lease holder between renewals: what just changed."""
+    """Leader to lease holder between renewals: the newest changes."""
 
     fence: Fence
     since: int
@@ -181,10 +181,10 @@
 
 
 class Claim(typing.NamedTuple):
-    """Gateway to leader: may this call, with this key, be run by me?"""
+    """Gateway to leader: claim the key of a call for one attempt."""
 
     key: str
-    digest: str  # of the request, to tell another use of the key
+    digest: str  # of the request, to detect reuse of the key for another
     request_id: str
     attempt_id: str
     agent: str
@@ -215,7 +215,7 @@
 
 
 class PutTable(typing.NamedTuple):
-    """Operator to leader: new rows over a base version."""
+    """Operator to leader: replace the rows of a base version."""
 
     operation_id: str
     base_version: int
@@ -224,16 +224,16 @@
 
 
 class PutTableReply(typing.NamedTuple):
-    """The result of a put; the same for each resend."""
+    """Result of a `PutTable`; the same for each retry of it."""
 
     accepted: bool
     version: int
     index: int
-    diff: list[str]  # rows that differ, where it was refused
+    diff: list[str]  # rows that differ, if it was rejected
 
 
 class ReadTable(typing.NamedTuple):
-    """Operator to leader: read the newest table and its log."""
+    """Operator to leader: read the newest table and its history."""
 
 
 class TableReply(typing.NamedTuple):
@@ -247,7 +247,7 @@
 
 
 class ReadDecisions(typing.NamedTuple):
-    """Operator to any process: decisions about a request, or the latest."""
+    """Operator to any process: read decisions on a request, or the latest."""
 
     request_id: str
     count: int
@@ -260,7 +260,7 @@
 
 
 class Dump(typing.NamedTuple):
-    """Operator to any process: show your state."""
+    """Operator to any process: read its state."""
 
 
 class DumpReply(typing.NamedTuple):
@@ -270,11 +270,11 @@
 
 
 class Stop(typing.NamedTuple):
-    """Operator to any process: begin a planned stop."""
+    """Operator to any process: shut down gracefully."""
 
 
 class ReadMembers(typing.NamedTuple):
-    """Operator to leader: which processes are there?"""
+    """Operator to leader: list the processes."""
 
 
 class MembersReply(typing.NamedTuple):
@@ -284,7 +284,7 @@
 
 
 class Failure(typing.NamedTuple):
-    """An error as an answer to a call."""
+    """An error reply to a call."""
 
     code: int
     message: str
@@ -293,16 +293,16 @@
 
 
 class Raft(typing.NamedTuple):
-    """Controller to controller: one message of the consensus core."""
+    """Controller to controller: a message of the consensus protocol."""
 
     sender: str
-    to: str  # an id; a later identity of the same box is not meant
+    to: str  # node id; later identities of the box ignore the message
     body: bytes
-    address: str = ''  # where the sender takes answers
+    address: str = ''  # of the sender, for replies
 
 
 class Admin(typing.NamedTuple):
-    """Operator to leader: change the controllers or hand over."""
+    """Operator to leader: change the controllers or transfer leadership."""
 
     action: str  # add, promote, remove, transfer, status
     name: str
@@ -317,7 +317,7 @@
 
 
 class Join(typing.NamedTuple):
-    """Controller to leader: my disk has this identity, let me take part."""
+    """Controller to leader: join the cluster with the identity on its disk."""
 
     node_id: str
     name: str
@@ -326,16 +326,17 @@
 
 
 class Controllers(typing.NamedTuple):
-    """Leader to the seeds: who the controllers are, by name."""
+    """Leader to the seeds: the addresses of the controllers, by name."""
 
     addresses: dict[str, str]
 
 
 class FindLeader(typing.NamedTuple):
-    """Any process to a controller: `Registered` is said by the leader only.
+    """Any process to a controller: find the leader.
 
-    Others refuse and name it, as soon as they know one that is not
-    ``besides``, the address of one that the process has found silent.
+    Only the leader replies, with `Registered`. Other controllers reject the
+    call with the leader's address once they know a leader other than
+    ``excluded``, the address of one found unresponsive or not leading.
     """
 
     excluded: str
@@ -400,29 +401,29 @@
 
 
 class Envelope(typing.NamedTuple):
-    """A decoded message with the number that ties a reply to its call."""
+    """A decoded message, and the number that matches replies to calls."""
 
     seq: int
     message: typing.Any
 
 
-_OUTER = msgspec.msgpack.Decoder(tuple[int, int, int, msgspec.Raw])
+_ENVELOPE_DECODER = msgspec.msgpack.Decoder(tuple[int, int, int, msgspec.Raw])
 
 
 def encode(message: typing.Any, seq: int = 0) -> bytes:
-    """Return the envelope of ``message`` as bytes."""
+    """Return the encoded envelope of ``message``."""
     return _ENCODER.encode((VERSION, _NUMBER[type(message)], seq, message))
 
 
 def decode(data: bytes | memoryview) -> Envelope:
     """Return the envelope in ``data``.
 
-    :raises BadMessage: where it is malformed or of another version.
+    :raises BadMessage: it is malformed or of another version.
     """
     try:
-        version, kind, seq, body = _OUTER.decode(data)
+        version, kind, seq, body = _ENVELOPE_DECODER.decode(data)
         if version != VERSION:
-            raise errors.BadMessage(f'version {version}, not {VERSION}')
+            raise errors.BadMessage(f'version {version}, expected {VERSION}')
         if not 0 <= kind < len(_KINDS):
             raise errors.BadMessage(f'unknown kind {kind}')
         return Envelope(seq, _DECODERS[kind].decode(body))
