--- a/mountridge/messages/attempt.py
+++ b/mountridge/messages/attempt.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Messages between gateways and agents: the attempts of requests."""
+"""Messages between gateways and agents about attempts of requests."""
 
 import typing
 
@@ -22,30 +22,30 @@
 
     request_id: str
     attempt_id: str
-    incarnation: str  # of the agent that is meant
+    incarnation: str  # of the intended agent
     team: str
     service: str
     path: str  # on the runner
     body: bytes
-    priority: int  # 0 goes first
+    priority: int  # 0 is the highest
     weight: float  # share among teams of one priority
     queue_s: float  # longest time in the agent's queue
-    deadline_s: float  # time left in all
-    claim_key: str  # '' where the call may be repeated
-    sent_s: float  # the agent's own clock, as the gateway reckons it
-    reason: str  # the placing decision, kept by the agent too
+    deadline_s: float  # time left for the whole request
+    claim_key: str  # '' if the request may be repeated
+    sent_s: float  # by the agent's clock, as estimated by the gateway
+    reason: str  # for the placement; recorded by the agent too
     seq: int  # counts the tickets from this gateway to this agent
 
 
 class Frame(typing.NamedTuple):
-    """One piece of an answer. ``position`` counts bytes before it."""
+    """A part of a response; ``position`` is its offset in bytes."""
 
     attempt_id: str
     position: int
     data: bytes
     end: bool
     status: int  # HTTP status from the runner; 0 until known
-    code: int  # error code; 0 while all is well
+    code: int  # error code; 0 if there was no error
     message: str
     retry_after_s: float
 
@@ -58,47 +58,47 @@
     running: int
     waiting: int
     slots: int
-    draining: bool  # it takes nothing new: leaving, or without a lease
+    draining: bool  # accepts no tickets: leaving, or without a lease
     at_s: float  # the agent's monotonic clock
-    frames_seq: int  # `Frames` sent to this gateway, this one included
-    ticket_seq: int  # newest ticket that came from this gateway
-    ticket_count: int  # tickets that came from this gateway
+    frames_seq: int  # `Frames` sent to this gateway, including this one
+    ticket_seq: int  # newest ticket received from this gateway
+    ticket_count: int  # tickets received from this gateway
 
 
 class Frames(typing.NamedTuple):
-    """Agent to gateway: frames of many answers in one message."""
+    """Agent to gateway: a batch of frames of any responses, and its load."""
 
     frames: list[Frame]
     load: Load
 
 
 class WatchLoad(typing.NamedTuple):
-    """Gateway to agent: tell me your load now and for a while."""
+    """Gateway to agent: report the load now and for some time after."""
 
 
 class Cancel(typing.NamedTuple):
-    """Gateway to agent: the caller has gone, stop the attempt."""
+    """Gateway to agent: stop an attempt whose caller has disconnected."""
 
     attempt_id: str
 
 
 class Revoke(typing.NamedTuple):
-    """Gateway to agent: bar the attempt for good if it has not run."""
+    """Gateway to agent: prevent an attempt that has not started."""
 
     attempt_id: str
     incarnation: str
 
 
 class AttemptReply(typing.NamedTuple):
-    """Answer to `Revoke`: ``outcome`` is ran, not run or unknown."""
+    """Reply to `Revoke` and `Attach`: `errors.RAN`, `NOT_RUN` or `UNKNOWN`."""
 
     attempt_id: str
     outcome: str
 
 
 class Attach(typing.NamedTuple):
-    """Gateway to agent: send the answer of an attempt again, from 0."""
+    """Gateway to agent: resend the response of an attempt from its start."""
 
     attempt_id: str
     incarnation: str
-    as_attempt_id: str
+    as_attempt_id: str  # attempt id for the frames that are sent
