--- a/mountridge/messages/quarantine.py
+++ b/mountridge/messages/quarantine.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Messages on requests that crash runners, of entries to the leader."""
+"""Messages from entries to the leader about requests that crash runners."""
 
 import typing
 
@@ -16,34 +16,34 @@
 
 
 class CrashReport(typing.NamedTuple):
-    """Crashes that a gateway has seen of late, and what ended well since.
+    """Recent crashes that a gateway observed, and successes since then.
 
-    Sent again and again, so that a new leader knows them too.
+    Sent repeatedly, so that a new leader receives them too.
     """
 
     crashes: list[quarantines.Crash]
-    #: Digest and age in seconds of the last good end.
+    #: Digest, and seconds since its last success.
     successes: list[tuple[bytes, float]]
 
 
 class CrashReportReply(typing.NamedTuple):
-    """The leader has counted a report, and has held back what it proves.
+    """The leader has applied a report and quarantined the requests it proves.
 
-    That has been sent before this answer.
+    The change of the quarantine is sent before this reply.
     """
 
 
 class ReadQuarantine(typing.NamedTuple):
-    """Operator to leader: all that was held back, confirmed by a quorum."""
+    """Operator to leader: read the quarantine, confirmed by a quorum."""
 
 
 class QuarantineReply(typing.NamedTuple):
-    """The requests that are or were held back, the latest ones last."""
+    """The requests that are or were quarantined, the latest ones last."""
 
     requests: list[quarantines.QuarantinedRequest]
 
 
 class Release(typing.NamedTuple):
-    """Operator to leader: hold a request back no more, and forget it."""
+    """Operator to leader: release a request and forget its crashes."""
 
     digest: bytes
