--- a/mountridge/messages/rank.py
+++ b/mountridge/messages/rank.py
@@ -17,35 +17,36 @@
 
 
 class RankReport(typing.NamedTuple):
-    """Sidecar to leader: its engine's state, and what was chosen since."""
+    """Sidecar to leader: its engine's state, and choices of experts."""
 
     instance_id: str
     state: ranks.RankState
-    #: Held now, by set of layers; [] where the leader has been told.
+    #: Experts that the rank holds, per set of layers; [] if the leader knows
+    #: them from an earlier report.
     experts: list[list[int]]
-    #: Choices of each expert since they were last told.
+    #: Choices of each expert since the previous counts.
     counts: demand.PackedCounts
-    #: Version of the newest map that the sidecar has whole, or NO_VERSION.
+    #: Newest version of the map that the sidecar has in full, or NO_VERSION.
     known_map: int
 
 
 class RankReply(typing.NamedTuple):
-    """Leader to sidecar: the next order, and when to report again."""
+    """Leader to sidecar: the next order, and what to report and when."""
 
     term: int
-    #: Without the map; `packed` has it, for PREPARE.
+    #: Without the map, which is in `packed` for PREPARE.
     order: ranks.RankOrder | None
     packed: mapdeltas.PackedMap
     report_interval_s: (
         float  # longest rest between reports; 0: as the settings say
     )
     report_each_step: bool  # the leader wants to know each pass
-    wants_experts: bool  # the leader does not know what the rank holds
+    wants_experts: bool  # the leader does not know the rank's experts
     wants_counts: bool
 
 
 class RankPush(typing.NamedTuple):
-    """Leader to sidecar: an order that does not wait for a report."""
+    """Leader to sidecar: an order sent without waiting for a report."""
 
     term: int
     order: ranks.RankOrder
@@ -53,24 +54,24 @@
 
 
 class RunnerLoad(typing.NamedTuple):
-    """What one runner has to do, by its sidecar's newest report."""
+    """The load of a runner, by its sidecar's newest report."""
 
     instance_id: str
     running: int
     waiting: int
     slowdown_percent: int  # over 100: it is slow; a byte where it is not
-    group: int  # a number that all ranks of a group share; 0: in none
-    is_open: bool  # its group makes passes, or it is in none
+    group: int  # the same number for all ranks of a group; 0: in none
+    is_open: bool  # its group runs forward passes, or it is in none
 
 
 class Loads(typing.NamedTuple):
-    """Leader to gateways: loads that were reported since the last ones."""
+    """Leader to gateways: loads reported since the previous message."""
 
     loads: list[RunnerLoad]
 
 
 class RemoteOrder(typing.NamedTuple):
-    """Leader to a gateway: give an order to a runner's engine."""
+    """Leader to a gateway: deliver an order to a runner's engine."""
 
     instance_id: str
     order: ranks.RankOrder
