--- a/mountridge/messages/route.py
+++ b/mountridge/messages/route.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Messages of entries to the leader: routes documents and runners."""
+"""Messages from entries to the leader: routes, runners and halls."""
 
 import typing
 
@@ -20,10 +20,10 @@
 
 
 class PutRoutes(typing.NamedTuple):
-    """Operator to leader: hold these routes if no newer ones are held."""
+    """Operator to leader: store routes unless newer ones are stored."""
 
     version: int
-    source: bytes  # the document as it came, compressed
+    source: bytes  # the original document, compressed
 
 
 class ReadRoutes(typing.NamedTuple):
@@ -31,38 +31,38 @@
 
 
 class RoutesReply(typing.NamedTuple):
-    """The version held after a put, or the document that was read."""
+    """The version stored after a put, or the document that was read."""
 
     version: int
     source: bytes
 
 
 class Heartbeat(typing.NamedTuple):
-    """A runner is alive; ``seq`` rises with each heartbeat of its life."""
+    """A runner is alive; ``seq`` increases with each of its heartbeats."""
 
     instance: instances.Instance
     seq: int
 
 
 class Leave(typing.NamedTuple):
-    """A life of a runner is over."""
+    """An incarnation of a runner leaves."""
 
     instance_id: str
-    born_ms: int = 0  # of the life that is meant; 0: not told
-    #: Number of the life that is held where it came in; 0: not known.
+    born_ms: int = 0  # start of the incarnation; 0: not reported
+    #: `lives` of the registration that the entry knows; 0: unknown.
     lives: int = 0
 
 
 class Registered(typing.NamedTuple):
-    """What a heartbeat or leave said is in the replicated state."""
+    """Acknowledges a message after it is applied to the replicated state."""
 
 
 class ReadHalls(typing.NamedTuple):
-    """Entry or operator to leader: all halls, confirmed by a quorum."""
+    """Entry or operator to leader: read all halls, confirmed by a quorum."""
 
 
 class HallsReply(typing.NamedTuple):
-    """The halls that were ever taken out of service, as they stand."""
+    """States of all halls that were ever taken out of service."""
 
     halls: list[halls.HallState]
 
@@ -70,8 +70,8 @@
 class SetHall(typing.NamedTuple):
     """Entry to leader: take a hall out of service, or put it back.
 
-    ``revision`` is the hall's revision that the entry has read for this
-    order. Where another order came between, this one changes nothing.
+    ``revision`` is the hall's revision that the entry has read. If the hall
+    has changed since, this order changes nothing.
     """
 
     hall: str
