--- a/mountridge/messages/rank.py
+++ b/mountridge/messages/rank.py
@@ -37,10 +37,8 @@
     #: Without the map, which is in `packed` for PREPARE.
     order: ranks.RankOrder | None
     packed: mapdeltas.PackedMap
-    report_interval_s: (
-        float  # longest rest between reports; 0: as the settings say
-    )
-    report_each_step: bool  # the leader wants to know each pass
+    report_interval_s: float  # at most; 0: as in the settings
+    report_each_step: bool  # report after each forward pass
     wants_experts: bool  # the leader does not know the rank's experts
     wants_counts: bool
 
@@ -59,7 +57,7 @@
     instance_id: str
     running: int
     waiting: int
-    slowdown_percent: int  # over 100: it is slow; a byte where it is not
+    slowdown_percent: int  # of the usual step time; 100: not slowed down
     group: int  # the same number for all ranks of a group; 0: in none
     is_open: bool  # its group runs forward passes, or it is in none
 
--- a/mountridge/messages/route.py
+++ b/mountridge/messages/route.py
@@ -49,7 +49,8 @@
 
     instance_id: str
     born_ms: int = 0  # start of the incarnation; 0: not reported
-    #: `lives` of the registration that the entry knows; 0: unknown.
+    #: `lives` of the registration that the entry knows; 0: unknown. Later
+    #: incarnations stay registered.
     lives: int = 0
 
 
