--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -1,11 +1,11 @@
-Feature: A configuration is in force within seconds and never reverts
+Feature: Table changes take effect within seconds and never revert
 
   Scenario Outline: A put whose <message> <fault>
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When a new table is put while its <message> <fault>, and resent until answered
-    Then it is one new version, in force everywhere within 5 s of its acceptance
-    And no gateway or agent ever goes back to an older index
-    And no gateway takes work under the old table once the new one is in force
+    When a new table is put while its <message> <fault>, and retried until answered
+    Then one new version is created and in force everywhere within 5 s of its acceptance
+    And no gateway or agent ever reverts to an older index
+    And no gateway or agent accepts requests under the old table once the new one is in force
 
     Examples:
       | message | fault |
@@ -49,9 +49,9 @@
   Scenario Outline: The leader is <fault> just after it accepted a put
     Given a system of 2 gateways, 2 agents and 3 controllers
     When a new table is accepted and the leader is <fault>
-    Then it is one new version, in force everywhere within 5 s of its acceptance
-    And no gateway or agent ever goes back to an older index
-    And no gateway takes work under the old table once the new one is in force
+    Then one new version is created and in force everywhere within 5 s of its acceptance
+    And no gateway or agent ever reverts to an older index
+    And no gateway or agent accepts requests under the old table once the new one is in force
 
     Examples:
       | fault              |
@@ -63,16 +63,16 @@
   Scenario: Of two puts with equal base versions one wins
     Given a system of 2 gateways, 2 agents and 3 controllers
     When two operators put different tables over the same version
-    Then one is accepted and the other gets the rows that differ
-    And each gets the same answer again after failover, snapshot and restart
+    Then one is accepted and the other is rejected with the rows that differ
+    And each gets the same reply again after failover, snapshot and restart
 
-  Scenario: A gateway that restarts after hundreds of changes serves nothing old
+  Scenario: A gateway that restarts after hundreds of changes serves no outdated table
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When 300 changes are made while "g1" is down and it starts again cut off
-    Then "g1" refuses all with code 1203 until it has the newest table
+    When 300 changes are made while "g1" is down and it restarts isolated
+    Then "g1" rejects all requests with code 1203 until it has the newest table
 
-  Scenario: A region cut off for minutes stops taking work, then resumes
+  Scenario: A gateway isolated from the controllers stops accepting requests, then resumes
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When "g2" is cut off from the controllers for 120 s while the table changes
-    Then "g2" refuses with code 1203 from 3 s after the cut until it is healed
-    And "g2" serves under the new table within 2 s of the heal
+    When "g2" is isolated from the controllers for 120 s while the table changes
+    Then "g2" rejects requests with code 1203 from 3 s after the cut until it ends
+    And "g2" serves under the new table within 2 s of the end of the cut
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on the table: puts, races, and when a version is in force."""
+"""Steps on puts of the table and on when a version is in force."""
 
 from behave import then, when
 import trio
@@ -13,35 +13,36 @@
 
 
 class Watch:
-    """Notes the index and version that each process acts on."""
+    """Records the index and version that each process applies."""
 
     def __init__(self, world):
         self.world = world
-        self.fell = []
+        self.reverted = []
         self.in_force_s = None
-        self.late = []  # acting on an older table than is in force
+        #: Valid leases on an older table than was in force, with the time.
+        self.stale = []
         self._seen = {}
 
     async def run(self):
         while True:
             await trio.sleep(0.02)
-            self.look()
+            self.check()
 
     def holders(self):
         for name, app in self.world.processes.items():
             if name[0] in 'ga':
                 yield name, app, self.world.parts[name].held
 
-    def look(self):
+    def check(self):
         now_s = trio.current_time()
         for name, app, held in self.holders():
             key = (name, app.generation)
             if held.view.index < self._seen.get(key, 0):
-                self.fell.append(key)
+                self.reverted.append(key)
             self._seen[key] = held.view.index
-            old = _version(held) != self.version
-            if self.in_force_s is not None and old and held.valid(now_s):
-                self.late.append((name, now_s))
+            is_old = _version(held) != self.version
+            if self.in_force_s is not None and is_old and held.valid(now_s):
+                self.stale.append((name, now_s))
         if self.in_force_s is None and self._all_new(now_s):
             self.in_force_s = now_s
 
@@ -64,7 +65,7 @@
     return change.value[0] if change else 0
 
 
-def _strike_put(context, prepare):
+def _put_with_fault(context, prepare):
     async def script(world):
         await world.begin()
         watch = Watch(world)
@@ -77,7 +78,7 @@
                 await trio.sleep(0.01)
         await trio.sleep(20)
         context.watch, context.reply = watch, reply
-        context.took_s = (watch.in_force_s or 1e9) - accepted_s
+        context.delay_s = (watch.in_force_s or 1e9) - accepted_s
         context.machine = world.machine()
         context.versions = [_version(h) for _, _, h in watch.holders()]
 
@@ -85,10 +86,10 @@
 
 
 @when(
-    'a new table is put while its {message} {fault}, and resent until'
+    'a new table is put while its {message} {fault}, and retried until'
     ' answered'
 )
-def put_struck(context, message, fault):
+def put_with_fault(context, message, fault):
     async def prepare(world):
         world.rules.append(
             system_world.Rule(message, system_world.ACTIONS[fault])
@@ -96,15 +97,15 @@
         if message != 'Changes':
             await trio.sleep(0.5)
 
-    _strike_put(context, prepare)
+    _put_with_fault(context, prepare)
 
 
 @when('a new table is accepted and the leader is {fault}')
-def accepted_then(context, fault):
+def fail_leader(context, fault):
     async def prepare(world):
         leader = world.leader
 
-        async def strike():
+        async def inject_fault():
             while world.machine().version < 2:
                 await trio.sleep(0.0005)
             if fault == 'killed':
@@ -117,32 +118,35 @@
             else:
                 world.stop(leader)
 
-        world.nursery.start_soon(strike)
+        world.nursery.start_soon(inject_fault)
 
-    _strike_put(context, prepare)
+    _put_with_fault(context, prepare)
 
 
 @then(
-    'it is one new version, in force everywhere within {limit_s:d} s of its'
-    ' acceptance'
+    'one new version is created and in force everywhere within {limit_s:d} s'
+    ' of its acceptance'
 )
 def check_in_force(context, limit_s):
     assert context.reply.accepted and context.reply.version == 2
     assert context.machine.version == 2, context.machine.version
     assert context.machine.rows_by_key['crews/drafts/*'].concurrency == 33
-    assert context.took_s <= limit_s, context.took_s
+    assert context.delay_s <= limit_s, context.delay_s
     assert set(context.versions) == {2}, context.versions
     assert len(context.versions) == 4
 
 
-@then('no gateway or agent ever goes back to an older index')
-def check_never_back(context):
-    assert not context.watch.fell, context.watch.fell
+@then('no gateway or agent ever reverts to an older index')
+def check_not_reverted(context):
+    assert not context.watch.reverted, context.watch.reverted
 
 
-@then('no gateway takes work under the old table once the new one is in force')
-def check_not_late(context):
-    assert not context.watch.late, context.watch.late[:3]
+@then(
+    'no gateway or agent accepts requests under the old table once the new one'
+    ' is in force'
+)
+def check_not_stale(context):
+    assert not context.watch.stale, context.watch.stale[:3]
 
 
 @when('two operators put different tables over the same version')
@@ -169,7 +173,7 @@
     system_world.play_for(context, script)
 
 
-@then('one is accepted and the other gets the rows that differ')
+@then('one is accepted and the other is rejected with the rows that differ')
 def check_race(context):
     accepted = [r for r in context.replies.values() if r.accepted]
     refused = [r for r in context.replies.values() if not r.accepted]
@@ -178,7 +182,7 @@
     assert any('concurrency' in line for line in refused[0].diff)
 
 
-@then('each gets the same answer again after failover, snapshot and restart')
+@then('each gets the same reply again after failover, snapshot and restart')
 def check_again(context):
     assert context.again == context.replies
     image = context.machine.snapshot()
@@ -190,10 +194,10 @@
 
 
 @when(
-    '{count:d} changes are made while "{name}" is down and it starts again'
-    ' cut off'
+    '{count:d} changes are made while "{name}" is down and it restarts'
+    ' isolated'
 )
-def restart_old(context, count, name):
+def restart_isolated(context, count, name):
     async def script(world):
         await world.begin()
         world.kill(name)
@@ -219,17 +223,20 @@
     system_world.play_for(context, script)
 
 
-@then('"{name}" refuses all with code {code:d} until it has the newest table')
-def check_refuses(context, name, code):
+@then(
+    '"{name}" rejects all requests with code {code:d} until it has the newest'
+    ' table'
+)
+def check_rejects(context, name, code):
     assert set(context.codes) == {code}, context.codes
     assert context.rows[0].concurrency == context.expected
 
 
 @when(
-    '"{name}" is cut off from the controllers for {span_s:d} s while the'
+    '"{name}" is isolated from the controllers for {span_s:d} s while the'
     ' table changes'
 )
-def cut_region(context, name, span_s):
+def isolate_gateway(context, name, span_s):
     async def script(world):
         await world.begin()
         await world.request(name, 'crews', 'drafts', 'before')
@@ -254,17 +261,20 @@
 
 
 @then(
-    '"{name}" refuses with code {code:d} from {limit_s:d} s after the cut'
-    ' until it is healed'
+    '"{name}" rejects requests with code {code:d} from {limit_s:d} s after'
+    ' the cut until it ends'
 )
 def check_cut(context, name, code, limit_s):
-    late = {seen for at_s, seen in context.seen if at_s > limit_s + 0.2}
-    early = {seen for at_s, seen in context.seen if at_s < 1}
-    assert late == {code}, context.seen
-    assert early == {0}, context.seen
+    after = {seen for at_s, seen in context.seen if at_s > limit_s + 0.2}
+    before = {seen for at_s, seen in context.seen if at_s < 1}
+    assert after == {code}, context.seen
+    assert before == {0}, context.seen
 
 
-@then('"{name}" serves under the new table within {limit_s:d} s of the heal')
+@then(
+    '"{name}" serves under the new table within {limit_s:d} s of the end of'
+    ' the cut'
+)
 def check_healed(context, name, limit_s):
     assert context.after.data == system_world.whole('after')
     assert context.version == 2
