--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -316,7 +316,7 @@
 )
 def crashed_rank(context, count):
     known = quarantine.Quarantine()
-    known.update([quarantines.Held(b'other', True, 2, 1, 0.0)])
+    known.update([quarantines.QuarantinedRequest(b'other', True, 2, 1, 0.0)])
     app = types.SimpleNamespace(
         now_s=lambda: 1.0, metrics=metrics.Metrics(None)
     )
@@ -477,8 +477,8 @@
 @given('an entry with two quarantine entries')
 def entry_of_commands(context):
     listed = [
-        quarantines.Held(b'1' * 16, True, 2, 1, 0.0),
-        quarantines.Held(b'2' * 16, False, 5, 2, 0.0),
+        quarantines.QuarantinedRequest(b'1' * 16, True, 2, 1, 0.0),
+        quarantines.QuarantinedRequest(b'2' * 16, False, 5, 2, 0.0),
     ]
     entries = [
         each._asdict() | {'digest': each.digest.hex()} for each in listed
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -85,7 +85,9 @@
                 self.keeper.nudge()
                 self._follow_view()
 
-    def on_greet(self, peer, message: messages.Greet) -> messages.Load:
+    def on_watch_load(
+        self, peer, message: messages.WatchLoad
+    ) -> messages.Load:
         """Tell a gateway the load, and report to it for a while."""
         return self.load(self.outbox.link(peer.route))
 
@@ -153,7 +155,9 @@
         else:
             attempt.scope.cancel()
 
-    def on_revoke(self, peer, message: messages.Revoke) -> messages.Barred:
+    def on_revoke(
+        self, peer, message: messages.Revoke
+    ) -> messages.AttemptReply:
         """Bar an attempt that has not begun, for good."""
         outcome = errors.UNKNOWN
         if message.incarnation == self.app.incarnation:
@@ -162,16 +166,18 @@
         if outcome == errors.NOT_RUN:
             self.queue.remove(message.attempt_id)
             self.attempts.pop(message.attempt_id, None)
-        return messages.Barred(message.attempt_id, outcome)
+        return messages.AttemptReply(message.attempt_id, outcome)
 
-    def on_attach(self, peer, message: messages.Attach) -> messages.Barred:
+    def on_attach(
+        self, peer, message: messages.Attach
+    ) -> messages.AttemptReply:
         """Send the answer of an attempt, from its start, to the asker."""
         attempt = self.attempts.get(message.attempt_id)
         attempt = attempt or self.ended.get(message.attempt_id)
         if message.incarnation != self.app.incarnation or not attempt:
-            return messages.Barred(message.attempt_id, errors.UNKNOWN)
+            return messages.AttemptReply(message.attempt_id, errors.UNKNOWN)
         if attempt.position > attempt.kept_bytes:
-            return messages.Barred(message.attempt_id, errors.UNKNOWN)
+            return messages.AttemptReply(message.attempt_id, errors.UNKNOWN)
         name = message.as_attempt_id
         data = b''.join(attempt.kept)
         frame = messages.Frame(
@@ -183,11 +189,15 @@
             self.outbox.put(peer.route, last)
         else:
             attempt.readers[peer.route] = name
-        return messages.Barred(message.attempt_id, errors.RAN)
+        return messages.AttemptReply(message.attempt_id, errors.RAN)
 
-    def on_ask(self, peer, message: messages.Ask) -> messages.Asked:
+    def on_read_decisions(
+        self, peer, message: messages.ReadDecisions
+    ) -> messages.DecisionsReply:
         """Return decisions about a request, or the newest ones."""
-        return messages.Asked(self.log.find(message.request_id, message.count))
+        return messages.DecisionsReply(
+            self.log.find(message.request_id, message.count)
+        )
 
     # Running.
 
@@ -463,12 +473,12 @@
 ) -> Agent:
     """Return an agent whose handlers, tasks and hooks are in ``app``."""
     agent = Agent(app, upstream)
-    app.handlers[messages.Greet] = agent.on_greet
+    app.handlers[messages.WatchLoad] = agent.on_watch_load
     app.handlers[messages.Ticket] = agent.on_ticket
     app.handlers[messages.Cancel] = agent.on_cancel
     app.handlers[messages.Revoke] = agent.on_revoke
     app.handlers[messages.Attach] = agent.on_attach
-    app.handlers[messages.Ask] = agent.on_ask
+    app.handlers[messages.ReadDecisions] = agent.on_read_decisions
     app.tasks += [agent.outbox.flush, agent.report, agent.serve]
     app.drain.append(agent.drain)
     app.dumpers['agent'] = agent.dump
--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -131,14 +131,14 @@
 
     async def work(app: application.Application) -> list[dict]:
         state = await members.Leader(app).call(
-            messages.Members(), clitools.CALL_S
+            messages.ReadMembers(), clitools.CALL_S
         )
         found: list[dict] = []
 
         async def one(member) -> None:
             try:
                 caller = app.connect(member['address'], member['name'])
-                question = messages.Ask(request_id, count)
+                question = messages.ReadDecisions(request_id, count)
                 reply = await caller.call(question, 2.0)
                 found.extend(reply.records)
             except errors.NoController:
--- a/mountridge/control/leadership.py
+++ b/mountridge/control/leadership.py
@@ -27,8 +27,8 @@
         self.app = app
         self.replica = replica
 
-    async def on_who_leads(
-        self, peer, question: messages.WhoLeads
+    async def on_find_leader(
+        self, peer, question: messages.FindLeader
     ) -> messages.Registered:
         """Answer as the leader, or refuse and name it once it is known.
 
@@ -41,7 +41,7 @@
                     return messages.Registered()
                 except errors.NotLeader as refusal:
                     named = getattr(refusal, 'leader_address', '')
-                    if named and named != question.besides:
+                    if named and named != question.excluded:
                         raise
                 await self.replica.stepped()
         raise errors.NotLeader()
--- a/mountridge/control/quarantineoffice.py
+++ b/mountridge/control/quarantineoffice.py
@@ -65,15 +65,15 @@
 
     async def on_report(
         self, peer: application.Peer, report: messages.CrashReport
-    ) -> messages.CrashesTaken:
+    ) -> messages.CrashReportReply:
         """Count crashes; hold back what they prove, free what ended well."""
         self._replica.check_leader()
         now_s = self.app.now_s()
-        for digest, age_s in report.good:
+        for digest, age_s in report.successes:
             await self._clear(digest, now_s - age_s)
         for crash in report.crashes:
             await self._count(crash, now_s)
-        return messages.CrashesTaken()
+        return messages.CrashReportReply()
 
     async def _clear(self, digest: bytes, good_s: float) -> None:
         """Drop crashes before a good end, and a hold that stood on them.
@@ -102,10 +102,10 @@
             return
         is_trial = known is not None and not known.is_held
         seen = self._crashed_s.pop(crash.digest, {})
-        is_new = crash.life not in seen
-        seen.setdefault(crash.life, crashed_s)
+        is_new = crash.incarnation not in seen
+        seen.setdefault(crash.incarnation, crashed_s)
         for life, at_s in list(seen.items()):
-            if now_s - at_s >= quarantines.KEPT_S:
+            if now_s - at_s >= quarantines.CRASH_TTL_S:
                 del seen[life]
         self._crashed_s[crash.digest] = seen
         while len(self._crashed_s) > MOST_SUSPECTS:
@@ -113,7 +113,7 @@
         if is_new:
             self.app.metrics.incr('quarantine.suspected')
         # One crash in its trial is enough: it had crashed several before.
-        most = 1 if is_trial else quarantines.HOLD_AT
+        most = 1 if is_trial else quarantines.CRASH_THRESHOLD
         is_held = known is not None and known.is_held
         if not is_held and len(seen) >= most:
             await self._hold(crash.digest, len(seen))
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -255,7 +255,9 @@
 
     # Operators and claims.
 
-    async def put(self, peer, put: messages.Put) -> messages.PutReply:
+    async def put(
+        self, peer, put: messages.PutTable
+    ) -> messages.PutTableReply:
         """Take a new table."""
         self.replica.check_leader()
         return await self.propose(
@@ -268,7 +270,7 @@
             )
         )
 
-    async def table(self, peer, _: messages.Table) -> messages.TableReply:
+    async def table(self, peer, _: messages.ReadTable) -> messages.TableReply:
         """Return the newest table, its log, and what is in force."""
         await self.replica.confirm()
         now_s = self.app.now_s()
@@ -323,7 +325,7 @@
             commands.CloseClaim(outcome, self.app.wall_s())
         )
 
-    async def list_members(self, peer, _: messages.Members):
+    async def list_members(self, peer, _: messages.ReadMembers):
         """Return the members that are live or leaving."""
         self.replica.check_leader()
         listed = [m._asdict() for m in self.machine.members_by_name.values()]
@@ -377,8 +379,8 @@
     controller = Controller(app, make_replica)
     office = changes.Changes(app, controller.replica)
     app.handlers[messages.Renew] = controller.renew
-    app.handlers[messages.Put] = controller.put
-    app.handlers[messages.Table] = controller.table
+    app.handlers[messages.PutTable] = controller.put
+    app.handlers[messages.ReadTable] = controller.table
     app.handlers[messages.Claim] = controller.claim
     app.handlers[messages.PutRoutes] = controller.put_routes
     app.handlers[messages.ReadRoutes] = controller.read_routes
@@ -390,12 +392,12 @@
     app.handlers[messages.ReadQuarantine] = controller.quarantine.on_read
     app.handlers[messages.Release] = controller.quarantine.on_release
     app.handlers[messages.Outcome] = controller.outcome
-    app.handlers[messages.Members] = controller.list_members
+    app.handlers[messages.ReadMembers] = controller.list_members
     app.handlers[messages.Raft] = controller.replica.on_raft
     app.handlers[messages.Admin] = office.on_admin
-    app.handlers[messages.WhoLeads] = leadership.Leadership(
+    app.handlers[messages.FindLeader] = leadership.Leadership(
         app, controller.replica
-    ).on_who_leads
+    ).on_find_leader
     app.tasks += [controller.replica.run, controller.watch]
     app.handlers[messages.RankReport] = controller.groups.on_report
     app.tasks += [controller.expire, controller.tell_loads]
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -139,7 +139,7 @@
             self.report_interval_s = max(MIN_REPORT_INTERVAL_S, interval_s)
         backend.sidecar_report_s = now_s
         backend.record_load(load.running, load.waiting, now_s)
-        backend.slowdown = load.pace_percent / 100
+        backend.slowdown = load.slowdown_percent / 100
         backend.group = load.group
         if backend.group_state.record_report(load.is_open, now_s):
             self._group_opened(backend)
--- a/mountridge/routing/crashreports.py
+++ b/mountridge/routing/crashreports.py
@@ -73,21 +73,23 @@
             with trio.move_on_after(CRASH_REPORT_TIMEOUT_S):
                 await self._report(report)
 
-    def update(self, listed: list[quarantines.Held]) -> None:
+    def update(self, listed: list[quarantines.QuarantinedRequest]) -> None:
         """Apply the list of requests that are or were quarantined."""
         self._quarantine.update(listed)
         if listed:
             self._wake.set()
 
-    async def read(self) -> list[quarantines.Held]:
+    async def read(self) -> list[quarantines.QuarantinedRequest]:
         """Return the requests that are or were quarantined.
 
         :raises NoController: no leader answered in time.
         """
         reply = await self._call(messages.ReadQuarantine(), CALL_TIMEOUT_S)
-        return reply.held
+        return reply.requests
 
-    async def release(self, digest: bytes) -> list[quarantines.Held]:
+    async def release(
+        self, digest: bytes
+    ) -> list[quarantines.QuarantinedRequest]:
         """Release a request; return the remaining quarantine entries.
 
         :raises NoController: the release may have been applied, or not.
@@ -95,4 +97,4 @@
         """
         reply = await self._call(messages.Release(digest), CALL_TIMEOUT_S)
         logger.info('request released from quarantine', digest=digest.hex())
-        return reply.held
+        return reply.requests
--- a/mountridge/routing/entryapi.py
+++ b/mountridge/routing/entryapi.py
@@ -53,10 +53,12 @@
     async def set_hall(self, name: str, is_out: bool) -> halls.HallState:
         """Take a hall out of service, or restore it."""
 
-    async def read_quarantine(self) -> list[quarantines.Held]:
+    async def read_quarantine(self) -> list[quarantines.QuarantinedRequest]:
         """Return the requests that are or were quarantined."""
 
-    async def release(self, digest: bytes) -> list[quarantines.Held]:
+    async def release(
+        self, digest: bytes
+    ) -> list[quarantines.QuarantinedRequest]:
         """Release a request; return the remaining quarantine entries."""
 
 
@@ -107,7 +109,7 @@
 
     :raises BadHeartbeat: the body is malformed.
     """
-    decoded = instances.read(_HEARTBEAT, body)
+    decoded = instances.decode(_HEARTBEAT, body)
     instance = instances.Instance(
         instance_id,
         decoded.service,
@@ -127,7 +129,7 @@
 
     :raises BadHeartbeat: the body is malformed.
     """
-    decoded = instances.read(_LEAVE, body) if body else LeaveBody()
+    decoded = instances.decode(_LEAVE, body) if body else LeaveBody()
     return instances.check_start(decoded.born_ms)
 
 
@@ -238,7 +240,7 @@
         listed = await entry.read_quarantine()
     elif rest.endswith(names.release):
         text = rest[: -len(names.release)].decode('latin-1')
-        listed = await entry.release(quarantines.read_digest(text))
+        listed = await entry.release(quarantines.parse_digest(text))
     else:
         raise errors.NoRoute(path.decode('latin-1'))
     entries = [
@@ -251,7 +253,7 @@
     entry: Entry, names: WireNames, raw_id: bytes, body: bytes
 ) -> None:
     with _counting_malformed(entry, raw_id):
-        instance_id = instances.read_id(raw_id)
+        instance_id = instances.parse_id(raw_id)
         heartbeat = names.read_heartbeat(instance_id, body)
     await entry.heartbeat(heartbeat)
 
@@ -260,7 +262,7 @@
     entry: Entry, names: WireNames, raw_id: bytes, body: bytes
 ) -> None:
     with _counting_malformed(entry, raw_id):
-        instance_id = instances.read_id(raw_id)
+        instance_id = instances.parse_id(raw_id)
         born_ms = names.read_leave(body)
     await entry.leave(instance_id, born_ms)
 
--- a/mountridge/routing/quarantine.py
+++ b/mountridge/routing/quarantine.py
@@ -39,7 +39,7 @@
 
     def __init__(self, key: str = ''):
         self._key = key.encode()
-        self._listed: dict[bytes, quarantines.Held] = {}
+        self._listed: dict[bytes, quarantines.QuarantinedRequest] = {}
         #: Times of the crashes of runner incarnations, by digest.
         self._crashes: collections.OrderedDict[bytes, dict[tuple, float]] = (
             collections.OrderedDict()
@@ -66,7 +66,9 @@
             request.body,
         )
 
-    def update(self, listed: typing.Iterable[quarantines.Held]) -> None:
+    def update(
+        self, listed: typing.Iterable[quarantines.QuarantinedRequest]
+    ) -> None:
         """Apply the list of requests that are or were quarantined."""
         before = self._listed
         self._listed = {each.digest: each for each in listed}
@@ -106,9 +108,11 @@
         """Return whether this gateway alone has seen enough crashes."""
         seen = self._crashes.get(digest, {})
         recent = [
-            at_s for at_s in seen.values() if now_s - at_s < quarantines.KEPT_S
+            at_s
+            for at_s in seen.values()
+            if now_s - at_s < quarantines.CRASH_TTL_S
         ]
-        return len(recent) >= quarantines.HOLD_AT
+        return len(recent) >= quarantines.CRASH_THRESHOLD
 
     def record_crash(
         self,
@@ -157,13 +161,13 @@
 
     def acknowledge(self, report: messages.CrashReport) -> None:
         """Record that the leader has received a report."""
-        for digest, _ in report.good:
+        for digest, _ in report.successes:
             self._unreported.pop(digest, None)
 
     def _expire(self, now_s: float) -> None:
         for digest, seen in list(self._crashes.items()):
             for incarnation, at_s in list(seen.items()):
-                if now_s - at_s >= quarantines.KEPT_S:
+                if now_s - at_s >= quarantines.CRASH_TTL_S:
                     del seen[incarnation]
             if not seen:
                 del self._crashes[digest]
--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -48,7 +48,7 @@
     removed: list[messages.Change]
     version: int
     versions: list[VersionRecord]
-    operations: list[tuple[str, messages.PutReply]]
+    operations: list[tuple[str, messages.PutTableReply]]
     claims: list[claims.ClaimRecord]
     clock_s: float
     floor_s: float
@@ -61,7 +61,7 @@
         self.view = views.View()
         self.version = 0
         self.versions: list[VersionRecord] = []
-        self.operations: dict[str, messages.PutReply] = {}
+        self.operations: dict[str, messages.PutTableReply] = {}
         self.claims = claims.Claims()
         #: Unpacked beside the view, for what is looked up often.
         self.rows_by_key: dict[str, tables.Row] = {}
@@ -70,7 +70,7 @@
         self.instances: dict[str, instances.Instance] = {}
         self.halls: dict[str, halls.HallState] = {}
         #: What is or was held back, the latest changed last.
-        self.quarantine: dict[bytes, quarantines.Held] = {}
+        self.quarantine: dict[bytes, quarantines.QuarantinedRequest] = {}
 
     def apply(self, index: int, command: commands.Command) -> typing.Any:
         """Apply the command at ``index`` and return its reply.
@@ -159,14 +159,14 @@
 
 def _put(
     machine: StateMachine, index: int, command: commands.PutTable
-) -> messages.PutReply:
+) -> messages.PutTableReply:
     known = machine.operations.get(command.operation_id)
     if known is not None:
         return known
     new = tables.check_rows(command.rows)
     old = machine.rows_by_key
     if command.base_version != machine.version:
-        reply = messages.PutReply(
+        reply = messages.PutTableReply(
             False,
             machine.version,
             index,
@@ -180,7 +180,7 @@
         )
         machine.versions.append(record)
         del machine.versions[:-KEPT_VERSIONS]
-        reply = messages.PutReply(True, machine.version, index, [])
+        reply = messages.PutTableReply(True, machine.version, index, [])
     machine.operations[command.operation_id] = reply
     if len(machine.operations) > KEPT_OPERATIONS:
         del machine.operations[next(iter(machine.operations))]
@@ -325,7 +325,7 @@
 
     :raises HallChanged: another order came between.
     """
-    known = machine.halls.get(command.hall, halls.never_out(command.hall))
+    known = machine.halls.get(command.hall, halls.default_state(command.hall))
     if known.is_out == command.is_out:
         return known
     if known.revision != command.revision:
@@ -354,13 +354,15 @@
 
 def _hold_request(
     machine: StateMachine, index: int, command: commands.HoldRequest
-) -> quarantines.Held:
+) -> quarantines.QuarantinedRequest:
     """Hold a request back; past the bound the oldest ones are forgotten."""
     known = machine.quarantine.get(command.digest)
     if known is not None and known.is_held:
         return known
-    before = known or quarantines.Held(command.digest, False, 0, 0, 0.0)
-    held = quarantines.Held(
+    before = known or quarantines.QuarantinedRequest(
+        command.digest, False, 0, 0, 0.0
+    )
+    held = quarantines.QuarantinedRequest(
         command.digest,
         True,
         before.crashes + command.crashes,
@@ -375,7 +377,7 @@
 
 def _release_request(
     machine: StateMachine, index: int, command: commands.ReleaseRequest
-) -> quarantines.Held | None:
+) -> quarantines.QuarantinedRequest | None:
     """Let a request be tried once more, or forget that it was held back."""
     known = machine.quarantine.get(command.digest)
     if known is None or not command.is_trial:
@@ -387,7 +389,7 @@
 
 
 def _keep_held(
-    machine: StateMachine, index: int, held: quarantines.Held
+    machine: StateMachine, index: int, held: quarantines.QuarantinedRequest
 ) -> None:
     machine.quarantine.pop(held.digest, None)
     machine.quarantine[held.digest] = held
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -189,7 +189,7 @@
     ),
     Mutant(
         'a ticket of any age', 'tickets',
-        'if now_s - ticket.agent_s > STALE_S:', 'if False:', 'rules',
+        'if now_s - ticket.sent_s > STALE_S:', 'if False:', 'rules',
     ),
     Mutant(
         'a revocation that bars nothing', 'tickets',
@@ -723,7 +723,7 @@
     ),
     Mutant(
         'quarantine: the own count does not hold', 'quarantine',
-        'return len(recent) >= quarantines.HOLD_AT', 'return False',
+        'return len(recent) >= quarantines.CRASH_THRESHOLD', 'return False',
         'quarantine',
     ),
     Mutant(
@@ -757,8 +757,8 @@
     ),
     Mutant(
         'quarantine: a trial that crashes takes two', 'quarantineoffice',
-        'most = 1 if is_trial else quarantines.HOLD_AT',
-        'most = quarantines.HOLD_AT', 'quarantine',
+        'most = 1 if is_trial else quarantines.CRASH_THRESHOLD',
+        'most = quarantines.CRASH_THRESHOLD', 'quarantine',
     ),
     Mutant(
         'quarantine: nothing is ever tried again', 'quarantineoffice',
@@ -976,7 +976,7 @@
     ),
     Mutant(
         'lives: any number', 'instances',
-        'if not 0 <= value <= most:',
+        'if not 0 <= value <= limit:',
         'if False:', 'lives',
     ),
     Mutant(
@@ -1021,7 +1021,7 @@
     ),
     Mutant(
         'losses: a lost leader is named to who looks for another',
-        'leadership', 'if named and named != question.besides:', 'if named:',
+        'leadership', 'if named and named != question.excluded:', 'if named:',
         'losses', 'A controller tells',
     ),
     Mutant(
