--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The command line: three daemons, and what operators ask and change."""
+"""The command line: starts the daemons, and runs operators' commands."""
 
 import json
 import typing
@@ -23,11 +23,14 @@
 def main() -> None:
     """Balance load over expert-parallel model groups.
 
-    Daemons: gateway (entry boxes), agent (runner boxes), controller (boxes
-    with a disk). Operators: edit the table with `table`, ask why with
-    `ask`, look inside a process with `dump`. Start with docs/QUICKSTART.md.
+    Daemons: gateway (entry boxes), agent (runner boxes) and controller
+    (boxes with a disk); or entry (entry boxes) and sidecar (runner boxes).
+    Operators: edit the table with `table`, list the decisions about a
+    request with `ask`, show the state of a process with `dump`. Start with
+    docs/QUICKSTART.md.
 
-    Exit codes: 0 done, 1 refused, 2 wrong usage, 3 not reached.
+    Exit codes: 0 done, 1 refused or invalid, 2 wrong usage, 3 no answer in
+    time (a change may have been applied, or not).
     """
 
 
@@ -37,25 +40,25 @@
     """Run a gateway on an entry box."""
     from mountridge import gateway as daemon
 
-    _run(daemon.run, settings_file, 'gateway')
+    _run_daemon(daemon.run, settings_file, 'gateway')
 
 
 @main.command()
 @clitools.SETTINGS
 def agent(settings_file: str) -> None:
-    """Run an agent in the slot of a runner box."""
+    """Run an agent in front of the runner on its box."""
     from mountridge import agent as daemon
 
-    _run(daemon.run, settings_file, 'agent')
+    _run_daemon(daemon.run, settings_file, 'agent')
 
 
 @main.command()
 @clitools.SETTINGS
 def entry(settings_file: str) -> None:
-    """Run an entry: a gateway by routes, and a controller with a disk."""
+    """Run an entry, with a controller on a box with a disk."""
     from mountridge import entry as daemon
 
-    _run(
+    _run_daemon(
         lambda loaded: daemon.run(loaded, settings_file),
         settings_file,
         'entry',
@@ -72,7 +75,7 @@
     def run(loaded: dict) -> None:
         daemon.run(loaded, engines.connect)
 
-    _run(run, settings_file, 'sidecar')
+    _run_daemon(run, settings_file, 'sidecar')
 
 
 @main.command()
@@ -81,10 +84,10 @@
     """Run a controller on a box with a disk."""
     from mountridge import controller as daemon
 
-    _run(daemon.run, settings_file, 'controller')
+    _run_daemon(daemon.run, settings_file, 'controller')
 
 
-def _run(run: typing.Callable, path: str, role: str) -> None:
+def _run_daemon(run: typing.Callable, path: str, role: str) -> None:
     loaded = clitools.load(path)
     if loaded['role'] != role:
         clitools.fail(errors.BadSettings(f'role: expected {role}'))
@@ -95,7 +98,7 @@
         clitools.fail(clitools.first(group))
 
 
-def _address(loaded: dict, address: str) -> str:
+def _resolve_address(loaded: dict, address: str) -> str:
     return loaded['controllers'].get(address, address)
 
 
@@ -103,8 +106,8 @@
     path: str, name: str, address: str, message: typing.Any
 ) -> typing.Any:
     async def work(app: application.Application) -> typing.Any:
-        where = _address(app.settings, address)
-        return await app.connect(where, name).call(message, clitools.CALL_S)
+        resolved = _resolve_address(app.settings, address)
+        return await app.connect(resolved, name).call(message, clitools.CALL_S)
 
     return clitools.operate(path, work)
 
@@ -114,7 +117,11 @@
 @click.argument('name')
 @click.argument('address')
 def dump(settings_file: str, name: str, address: str) -> None:
-    """Show the state of the process NAME at ADDRESS (tcp://IP:PORT)."""
+    """Print the state of a process as JSON.
+
+    NAME is the name in its settings, ADDRESS the name of a controller or
+    tcp://IP:PORT.
+    """
     reply = _call_process(settings_file, name, address, messages.Dump())
     click.echo(json.dumps(reply.state, indent=2, default=str))
 
@@ -122,12 +129,19 @@
 @main.command()
 @clitools.OPERATOR
 @clitools.AS_JSON
-@click.option('--count', default=20, help='Most records of each process.')
+@click.option(
+    '--count', default=20, help='Maximum records per process; 0 for all.'
+)
 @click.argument('request_id', default='')
 def ask(
     settings_file: str, as_json: bool, count: int, request_id: str
 ) -> None:
-    """Show the decisions about a request, or the newest, with reasons."""
+    """Show decisions about a request, with reasons.
+
+    Without REQUEST_ID, shows the newest decisions. Asks all gateways and
+    agents, and names on standard error those that do not answer within 2 s.
+    Each keeps only its newest records, in memory.
+    """
 
     async def work(app: application.Application) -> list[dict]:
         state = await members.Leader(app).call(
@@ -135,7 +149,7 @@
         )
         found: list[dict] = []
 
-        async def one(member) -> None:
+        async def ask_member(member) -> None:
             try:
                 caller = app.connect(member['address'], member['name'])
                 question = messages.ReadDecisions(request_id, count)
@@ -146,7 +160,7 @@
 
         async with trio.open_nursery() as nursery:
             for member in state.members:
-                nursery.start_soon(one, member)
+                nursery.start_soon(ask_member, member)
         return sorted(found, key=lambda record: record['at_s'])
 
     records = clitools.operate(settings_file, work)
@@ -154,12 +168,12 @@
         click.echo(json.dumps(records))
         return
     for record in records:
-        click.echo(_describe(record))
+        click.echo(_format_record(record))
     if not records:
         click.echo('no record: unknown, or older than what is kept')
 
 
-def _describe(record: dict) -> str:
+def _format_record(record: dict) -> str:
     row = f' row {record["row"]}' if record['row'] else ''
     if record['table_version']:
         row += f' (table {record["table_version"]})'
@@ -176,20 +190,25 @@
 @click.argument('name')
 @click.argument('address')
 def stop(settings_file: str, name: str, address: str) -> None:
-    """Begin a planned stop of the process NAME at ADDRESS."""
+    """Begin a planned stop of a process.
+
+    The process drains and then exits; the command does not wait for that.
+    Repeating it changes nothing. NAME is the name in its settings, ADDRESS
+    the name of a controller or tcp://IP:PORT.
+    """
     _call_process(settings_file, name, address, messages.Stop())
     click.echo(f'{name} is stopping')
 
 
 @main.group()
 def settings() -> None:
-    """Check and show settings."""
+    """Check and show settings files."""
 
 
 @settings.command('check')
 @clitools.SETTINGS
 def settings_check(settings_file: str) -> None:
-    """Check a settings file; every error at once, with its path."""
+    """Check a settings file and list all errors, with their paths."""
     clitools.load(settings_file)
     click.echo('no errors')
 
@@ -197,20 +216,25 @@
 @settings.command('show')
 @clitools.SETTINGS
 def settings_show(settings_file: str) -> None:
-    """Show the settings with all defaults."""
+    """Show the settings of a file, with defaults filled in."""
     click.echo(yaml.safe_dump(clitools.load(settings_file), sort_keys=False))
 
 
 @main.group('keys')
 def keys_group() -> None:
-    """Keys of the processes."""
+    """Make the keys of the processes."""
 
 
 @keys_group.command('make')
 @click.argument('folder', type=click.Path())
 @click.argument('names', nargs=-1, required=True)
 def keys_make(folder: str, names: tuple[str, ...]) -> None:
-    """Make a key pair in FOLDER for each of NAMES."""
+    """Make a key pair in FOLDER for each of NAMES.
+
+    Prints the names of the new files: NAME.key (public) and
+    NAME.key_secret. Never overwrites a secret key: the first name that has
+    one is an error; the names before it have their keys by then.
+    """
     try:
         for path in keys.make(folder, list(names)):
             click.echo(path.name)
@@ -218,7 +242,7 @@
         clitools.fail(problem)
 
 
-for each in (
+for module in (
     clitable,
     clistorage,
     clicontrollers,
@@ -226,4 +250,4 @@
     clihalls,
     cliquarantine,
 ):
-    main.add_command(each.group)
+    main.add_command(module.group)
