--- a/mountridge/clicontrollers.py
+++ b/mountridge/clicontrollers.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands on the set of controllers."""
+"""Commands to show and change the membership of the controllers."""
 
 import click
 
@@ -11,10 +11,17 @@
 
 @click.group('controllers')
 def group() -> None:
-    """See, add, replace and remove controllers, one at a time."""
+    """Show, add, promote and remove controllers.
 
+    Each change is made by the leader and concerns one controller. An id is
+    the controller's name and a suffix that identifies its data folder, as
+    `controllers status` shows it.
+    """
 
-def _admin(path: str, action: str, name: str = '', address: str = '') -> None:
+
+def _call_admin(
+    path: str, action: str, name: str = '', address: str = ''
+) -> None:
     reply = clitools.call_leader(path, messages.Admin(action, name, address))
     click.echo(reply.text)
 
@@ -22,8 +29,12 @@
 @group.command('status')
 @clitools.OPERATOR
 def controllers_status(settings_file: str) -> None:
-    """Show the controllers, who leads, and how far each one is."""
-    _admin(settings_file, 'show')
+    """Show the controllers, the leader, and the lag of each.
+
+    The lag is the number of log entries that a controller lacks, and the
+    time since its last answer, in seconds.
+    """
+    _call_admin(settings_file, 'show')
 
 
 @group.command('add')
@@ -31,29 +42,44 @@
 @click.argument('name')
 @click.argument('address')
 def controllers_add(settings_file: str, name: str, address: str) -> None:
-    """Add the controller NAME at ADDRESS as a learner; prints its id."""
-    _admin(settings_file, 'add', name, address)
+    """Add the controller NAME at ADDRESS as a learner.
+
+    Prints its id. ADDRESS is tcp://IP:PORT; the controller must be running.
+    Repeating it changes nothing.
+    """
+    _call_admin(settings_file, 'add', name, address)
 
 
 @group.command('promote')
 @clitools.OPERATOR
 @click.argument('controller_id')
 def controllers_promote(settings_file: str, controller_id: str) -> None:
-    """Make a learner that has caught up a voter."""
-    _admin(settings_file, 'promote', controller_id)
+    """Make a learner that has caught up a voter.
+
+    Refused if it is not a learner, also if it already is a voter.
+    """
+    _call_admin(settings_file, 'promote', controller_id)
 
 
 @group.command('remove')
 @clitools.OPERATOR
 @click.argument('controller_id')
 def controllers_remove(settings_file: str, controller_id: str) -> None:
-    """Remove a controller by its id."""
-    _admin(settings_file, 'remove', controller_id)
+    """Remove a controller by its id.
+
+    Refused if it leads, if it is not a member (any more), or if too few of
+    the remaining voters respond.
+    """
+    _call_admin(settings_file, 'remove', controller_id)
 
 
 @group.command('transfer')
 @clitools.OPERATOR
 @click.argument('controller_id', default='')
 def controllers_transfer(settings_file: str, controller_id: str) -> None:
-    """Hand leadership to a voter, by default to the best one."""
-    _admin(settings_file, 'transfer', controller_id)
+    """Transfer leadership to a voter.
+
+    Without CONTROLLER_ID, selects the responsive voter with the most
+    complete log. The command does not wait until the voter leads.
+    """
+    _call_admin(settings_file, 'transfer', controller_id)
