--- a/mountridge/clihalls.py
+++ b/mountridge/clihalls.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands on halls: list them, take one out of service, put it back."""
+"""Commands to list, drain and restore halls."""
 
 import datetime
 import json
@@ -19,25 +19,26 @@
 
 @click.group('halls')
 def group() -> None:
-    """List halls, take them out of service, and put them back.
+    """List halls, take them out of service, and restore them.
 
-    What a command confirms is kept by a quorum of controllers, and all
-    gateways in touch obey it within seconds. Send a command again, through
-    any entry, where it is not confirmed: that changes nothing twice.
+    A confirmed change is committed by a quorum of controllers, and applied
+    within seconds by all entries that are connected to them. If a command
+    is not confirmed, repeat it through any entry: a change that has been
+    applied is only confirmed.
     """
 
 
 @group.command('list')
 @clitools.ENTRY
-@click.option('--json', 'as_json', is_flag=True, help='For programs.')
+@click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def halls_list(address: str, as_json: bool) -> None:
-    """Show the halls that were ever out of service."""
+    """Show all halls that have ever been out of service."""
     answer = clitools.call_entry(address, b'GET', entryapi.NATIVE.halls, b'')
     listed = [halls.HallState(**each) for each in json.loads(answer)['halls']]
     if as_json:
         click.echo(json.dumps([state._asdict() for state in listed]))
         return
-    rows = [_cells(state) for state in listed]
+    rows = [_table_row(state) for state in listed]
     click.echo(tabulate.tabulate(rows, headers='keys'))
 
 
@@ -45,28 +46,30 @@
 @clitools.ENTRY
 @HALL
 def halls_drain(address: str, name: str) -> None:
-    """Send nothing more to the runners of a hall; what runs there ends."""
-    _order(address, name, entryapi.NATIVE.drain_hall)
+    """Take a hall out of service; requests that run there finish."""
+    _set_hall(address, name, entryapi.NATIVE.drain_hall)
 
 
 @group.command('restore')
 @clitools.ENTRY
 @HALL
 def halls_restore(address: str, name: str) -> None:
-    """Send requests to the runners of a hall again."""
-    _order(address, name, entryapi.NATIVE.restore_hall)
+    """Put a hall back into service; its runners get requests again."""
+    _set_hall(address, name, entryapi.NATIVE.restore_hall)
 
 
-def _order(address: str, name: str, suffix: bytes) -> None:
+def _set_hall(address: str, name: str, suffix: bytes) -> None:
     target = entryapi.NATIVE.halls + name.encode() + suffix
     answer = clitools.call_entry(address, b'POST', target, b'')
     state = halls.HallState(**json.loads(answer))
-    told = ', '.join(f'{key} {value}' for key, value in _cells(state).items())
-    click.echo(told)
+    line = ', '.join(
+        f'{key} {value}' for key, value in _table_row(state).items()
+    )
+    click.echo(line)
 
 
-def _cells(state: halls.HallState) -> dict[str, str | int]:
-    """Return what a line shows of a hall."""
+def _table_row(state: halls.HallState) -> dict[str, str | int]:
+    """Return the columns shown for a hall."""
     since = datetime.datetime.fromtimestamp(state.since_s, datetime.UTC)
     return {
         'hall': state.name,
