--- a/mountridge/cliquarantine.py
+++ b/mountridge/cliquarantine.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands on requests that are held back since they crash runners."""
+"""Commands on requests that are quarantined because they crash runners."""
 
 import datetime
 import json
@@ -16,18 +16,23 @@
 
 @click.group('quarantine')
 def group() -> None:
-    """List requests that are held back, and release one.
+    """List and release requests that crash runners.
 
-    A request is known by a digest, which its callers get with the refusal
-    and log lines show. What a command confirms is kept by a quorum.
+    A request is identified by a digest, which its callers get in the error
+    response and which log lines show. A confirmed change is committed by a
+    quorum of controllers.
     """
 
 
 @group.command('list')
 @clitools.ENTRY
-@click.option('--json', 'as_json', is_flag=True, help='For programs.')
+@click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def quarantine_list(address: str, as_json: bool) -> None:
-    """Show what is held back, and what was and may be tried."""
+    """Show requests that are or were quarantined.
+
+    `held back`: quarantined. `may be tried`: quarantined before, sent to
+    runners again.
+    """
     prefix = entryapi.NATIVE.quarantine
     _show(clitools.call_entry(address, b'GET', prefix, b''), as_json)
 
@@ -36,7 +41,11 @@
 @clitools.ENTRY
 @click.argument('digest')
 def quarantine_release(address: str, digest: str) -> None:
-    """Send a request to runners again, and forget that it crashed some."""
+    """Send a request to runners again, and forget its crashes.
+
+    Prints the remaining entries. An unknown digest, also one that was
+    released before, is refused.
+    """
     native = entryapi.NATIVE
     target = native.quarantine + digest.encode() + native.release
     _show(clitools.call_entry(address, b'POST', target, b''), False)
@@ -47,17 +56,17 @@
     if as_json:
         click.echo(json.dumps(listed))
         return
-    rows = [_cells(each) for each in listed]
+    rows = [_table_row(entry) for entry in listed]
     click.echo(tabulate.tabulate(rows, headers='keys'))
 
 
-def _cells(each: dict) -> dict[str, str | int]:
-    """Return what a line shows of a request."""
-    since = datetime.datetime.fromtimestamp(each['since_s'], datetime.UTC)
+def _table_row(entry: dict) -> dict[str, str | int]:
+    """Return the columns shown for a request."""
+    since = datetime.datetime.fromtimestamp(entry['since_s'], datetime.UTC)
     return {
-        'digest': each['digest'],
-        'state': 'held back' if each['is_held'] else 'may be tried',
-        'crashes': each['crashes'],
-        'holds': each['holds'],
+        'digest': entry['digest'],
+        'state': 'held back' if entry['is_held'] else 'may be tried',
+        'crashes': entry['crashes'],
+        'holds': entry['holds'],
         'since': since.isoformat(timespec='seconds'),
     }
