--- a/mountridge/cliroutes.py
+++ b/mountridge/cliroutes.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands on routes: check, put and get a document, through an entry."""
+"""Commands to check, put and get routes documents, through an entry."""
 
 import json
 import pathlib
@@ -22,7 +22,7 @@
 @group.command('check')
 @click.argument('document', type=click.Path(exists=True))
 def routes_check(document: str) -> None:
-    """Check a routes document without putting it."""
+    """Check a routes document without sending it."""
     try:
         table = routes.decode(pathlib.Path(document).read_bytes())
     except errors.BadRoutes as problem:
@@ -34,19 +34,23 @@
 @clitools.ENTRY
 @click.argument('document', type=click.Path(exists=True))
 def routes_put(address: str, document: str) -> None:
-    """Put a routes document; the highest version holds."""
+    """Put a routes document.
+
+    Stored if its version is above the stored one, else ignored, so that a
+    repeat changes nothing. Prints the version then stored.
+    """
     body = pathlib.Path(document).read_bytes()
     answer = clitools.call_entry(
         address, b'POST', entryapi.NATIVE.put_routes, body
     )
-    held = json.loads(answer)['version']
-    click.echo(f'held: version {held}')
+    stored = json.loads(answer)['version']
+    click.echo(f'held: version {stored}')
 
 
 @group.command('get')
 @clitools.ENTRY
 def routes_get(address: str) -> None:
-    """Read the newest routes document."""
+    """Print the routes document with the highest version."""
     answer = clitools.call_entry(
         address, b'GET', entryapi.NATIVE.get_routes, b''
     )
