--- a/mountridge/clistorage.py
+++ b/mountridge/clistorage.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands on data folders of controllers."""
+"""Commands to create and check data folders of controllers."""
 
 import click
 import trio
@@ -10,21 +10,23 @@
 
 __all__ = ['group']
 
-PROBE_S = 0.5
+PROBE_TIMEOUT_S = 0.5
 
 
 @click.group('storage')
 def group() -> None:
-    """Data folders of controllers."""
+    """Create and check data folders of controllers."""
 
 
 @group.command('init')
 @clitools.SETTINGS
 def storage_init(settings_file: str) -> None:
-    """Make the data folder of one of the first controllers.
+    """Create the data folder of one of the first controllers.
 
-    Only for a new system. A controller that lost its disk is started with
-    an empty folder instead, and added with `controllers add`.
+    Only for a new system: refused if another controller of the settings
+    belongs to a running system, or if the folder holds data already. Start
+    a controller that lost its disk with an empty folder instead, and add it
+    with `controllers add`.
     """
     loaded = clitools.load(settings_file)
     names = loaded['controllers']
@@ -44,29 +46,36 @@
 
 
 def _refuse_if_running(path: str, names: list[str]) -> None:
-    """Refuse where another controller runs, unless it has never voted."""
+    """Raise if another controller is running, unless its term is still 0.
+
+    :raises RefusedChange: one of them has a term, or does not answer.
+    """
 
     async def work(app: application.Application) -> None:
         for name in names:
             address = app.settings['controllers'][name]
-            if not await _listens(address):
+            if not await _is_listening(address):
                 continue
             question = messages.Admin('status', '', '')
             caller = app.connect(address, name)
             try:
-                reply = await caller.call(question, PROBE_S)
+                reply = await caller.call(question, PROBE_TIMEOUT_S)
             except errors.NoController:
-                raise errors.RefusedChange(f'{name} runs, and refuses us')
+                raise errors.RefusedChange(
+                    f'{name} is running but did not answer'
+                )
             if reply.done:
-                raise errors.RefusedChange(f'{name} knows a running system')
+                raise errors.RefusedChange(
+                    f'{name} belongs to a running system'
+                )
 
     clitools.operate(path, work)
 
 
-async def _listens(address: str) -> bool:
+async def _is_listening(address: str) -> bool:
     host, _, port = address.removeprefix('tcp://').rpartition(':')
     try:
-        with trio.fail_after(PROBE_S):
+        with trio.fail_after(PROBE_TIMEOUT_S):
             stream = await trio.open_tcp_stream(host, int(port))
     except (OSError, trio.TooSlowError):
         return False
@@ -77,7 +86,11 @@
 @group.command('check')
 @click.argument('folder', type=click.Path())
 def storage_check(folder: str) -> None:
-    """Check all of a data folder without changing it."""
+    """Check a whole data folder without changing it.
+
+    Prints the id, the term, the indexes of the snapshot and of the last
+    entry, and the sizes of the journal and of its incomplete tail.
+    """
     try:
         click.echo(storage.check(folder))
     except (errors.MountridgeError, OSError) as problem:
