--- a/mountridge/clitable.py
+++ b/mountridge/clitable.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands on the table of weights and limits."""
+"""Commands to read, compare and replace the table of weights and limits."""
 
 import getpass
 import json
@@ -20,10 +20,10 @@
 
 @click.group('table')
 def group() -> None:
-    """Read, review and change the table of weights and limits."""
+    """Read, compare and replace the table of weights and limits."""
 
 
-def _read_file(path: str) -> list[tables.Row]:
+def _read_rows(path: str) -> list[tables.Row]:
     try:
         return sheets.read_sheet(pathlib.Path(path).read_text())
     except errors.MountridgeError as problem:
@@ -37,7 +37,7 @@
 def get(settings_file: str) -> None:
     """Write the table as a sheet (CSV) to standard output.
 
-    The version goes to standard error: give it to `table put --base`.
+    The version goes to standard error; pass it to `table put --base`.
     """
     reply = clitools.call_leader(settings_file, messages.ReadTable())
     rows = [tables.Row(**row) for row in reply.rows]
@@ -49,15 +49,15 @@
 @click.argument('sheet', type=click.Path())
 def check(sheet: str) -> None:
     """Check a sheet without sending it."""
-    click.echo(f'{len(_read_file(sheet))} rows, no errors')
+    click.echo(f'{len(_read_rows(sheet))} rows, no errors')
 
 
 @group.command()
 @clitools.OPERATOR
 @click.argument('sheet', type=click.Path())
 def diff(settings_file: str, sheet: str) -> None:
-    """Show, row by row, what a sheet would change."""
-    new = _read_file(sheet)
+    """Show the rows that a sheet would add, remove or change."""
+    new = _read_rows(sheet)
     reply = clitools.call_leader(settings_file, messages.ReadTable())
     old = [tables.Row(**row) for row in reply.rows]
     lines = tables.diff_rows(old, new)
@@ -75,9 +75,20 @@
 @group.command()
 @clitools.OPERATOR
 @clitools.AS_JSON
-@click.option('--base', type=int, required=True, help='Version edited.')
-@click.option('--operation', default='', help='Id; the same on a resend.')
-@click.option('--wait', is_flag=True, help='Wait until it is in force.')
+@click.option(
+    '--base',
+    type=int,
+    required=True,
+    help='Version that the sheet is an edit of.',
+)
+@click.option(
+    '--operation',
+    default='',
+    help='Id of the put, to repeat on a retry; else a new one.',
+)
+@click.option(
+    '--wait', is_flag=True, help='Wait until it is in force everywhere.'
+)
 @click.argument('sheet', type=click.Path())
 def put(
     settings_file: str,
@@ -87,8 +98,13 @@
     wait: bool,
     sheet: str,
 ) -> None:
-    """Replace the table by a sheet, if the base version still holds."""
-    rows = _read_file(sheet)
+    """Replace the table by a sheet, if it is still at the base version.
+
+    Otherwise refused, with the rows that differ. Prints the operation id on
+    standard error. To retry a put that was not answered, pass this id: it
+    is then applied once, and each retry gets the same answer.
+    """
+    rows = _read_rows(sheet)
     message = messages.PutTable(
         operation or utils.fresh_id(),
         base,
@@ -121,7 +137,11 @@
 @clitools.OPERATOR
 @clitools.AS_JSON
 def table_log(settings_file: str, as_json: bool) -> None:
-    """Show who made which version, when, and whether it is in force."""
+    """Show the versions: who put each, when, and whether it is in force.
+
+    Times are in seconds since the epoch. Without --json, also names the
+    processes that may still act on an older version.
+    """
     reply = clitools.call_leader(settings_file, messages.ReadTable())
     listed = [
         {
