--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What commands share: options, exit codes, errors, calls to processes."""
+"""Options, exit codes, error handling and calls shared by the commands."""
 
 import json
 import sys
@@ -34,14 +34,14 @@
 EXIT_REFUSED = 1
 EXIT_USAGE = 2
 EXIT_UNREACHED = 3
-#: How long a process may take to answer a command.
+#: Timeout of a call of a command to a process.
 CALL_S = 10.0
 
 ENTRY = click.option(
     '--entry',
     'address',
     required=True,
-    help='IP:PORT at which an entry takes control calls.',
+    help='IP:PORT of the control API of an entry.',
 )
 SETTINGS = click.argument('settings_file', type=click.Path())
 OPERATOR = click.option(
@@ -50,13 +50,13 @@
     envvar='MOUNTRIDGE_SETTINGS',
     required=True,
     type=click.Path(),
-    help='Settings with the controllers and keys.',
+    help='Settings with controllers and keys; else $MOUNTRIDGE_SETTINGS.',
 )
-AS_JSON = click.option('--json', 'as_json', is_flag=True, help='For programs.')
+AS_JSON = click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 
 
 def fail(problem: errors.MountridgeError) -> typing.NoReturn:
-    """End the command with an error's code and text."""
+    """Print an error's code and message, and exit."""
     click.echo(f'error {problem.code}: {problem}', err=True)
     unreached = isinstance(problem, errors.NoController)
     sys.exit(EXIT_UNREACHED if unreached else EXIT_REFUSED)
@@ -65,7 +65,7 @@
 def call_entry(
     address: str, method: bytes, target: bytes, body: bytes
 ) -> bytes:
-    """Return the body of an entry's answer, or end with its error."""
+    """Return the body of an entry's response, or exit with its error."""
 
     async def work() -> tuple[int, bytes]:
         pool = lasthop.Pool(dialects.NATIVE.headers, clocks.now_s)
@@ -84,15 +84,15 @@
     except errors.MountridgeError as problem:
         fail(errors.NoController(str(problem)))
     except trio.TooSlowError:
-        fail(errors.NoController(f'{address} gave no answer'))
+        fail(errors.NoController(f'{address} did not answer in time'))
     if status != 200:
-        told = json.loads(answer)['error']
-        fail(errors.by_code(told['code'])(told['message']))
+        refusal = json.loads(answer)['error']
+        fail(errors.by_code(refusal['code'])(refusal['message']))
     return answer
 
 
 def load(path: str) -> dict:
-    """Return checked settings, or end with their errors."""
+    """Return checked settings, or exit with their errors."""
     try:
         return settings_module.load(path)
     except errors.MountridgeError as problem:
@@ -100,7 +100,11 @@
 
 
 def operate(path: str, work: typing.Callable) -> typing.Any:
-    """Run ``work(application)`` with connections, and return its result."""
+    """Run ``work(application)`` as an operator, and return its result.
+
+    Connects with the key of ``operator_key`` if the settings name one. Exits
+    with the first error of the work.
+    """
     settings = load(path)
     settings['name'] = settings['operator_key'] or settings['name']
 
@@ -121,7 +125,7 @@
 
 
 def call_leader(path: str, message: typing.Any) -> typing.Any:
-    """Return the reply of the controller that leads, or end with its error."""
+    """Return the reply of the leading controller, or exit with its error."""
 
     async def work(app: application.Application) -> typing.Any:
         return await members.Leader(app).call(message, CALL_S)
@@ -130,7 +134,7 @@
 
 
 def first(group: BaseExceptionGroup) -> errors.MountridgeError:
-    """Return the first of our own errors in a group."""
+    """Return the first error of a group, which may be nested."""
     found: BaseException = group
     while isinstance(found, BaseExceptionGroup):
         found = found.exceptions[0]
