--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -128,7 +128,7 @@
 
 @main.command()
 @clitools.OPERATOR
-@clitools.AS_JSON
+@clitools.JSON_OPTION
 @click.option(
     '--count', default=20, help='Maximum records per process; 0 for all.'
 )
--- a/mountridge/clitable.py
+++ b/mountridge/clitable.py
@@ -74,7 +74,7 @@
 
 @group.command()
 @clitools.OPERATOR
-@clitools.AS_JSON
+@clitools.JSON_OPTION
 @click.option(
     '--base',
     type=int,
@@ -135,7 +135,7 @@
 
 @group.command('log')
 @clitools.OPERATOR
-@clitools.AS_JSON
+@clitools.JSON_OPTION
 def table_log(settings_file: str, as_json: bool) -> None:
     """Show the versions: who put each, when, and whether it is in force.
 
--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -15,12 +15,12 @@
 from mountridge.state import members
 
 __all__ = [
-    'AS_JSON',
     'CALL_S',
     'ENTRY',
     'EXIT_REFUSED',
     'EXIT_UNREACHED',
     'EXIT_USAGE',
+    'JSON_OPTION',
     'OPERATOR',
     'SETTINGS',
     'call_entry',
@@ -52,7 +52,9 @@
     type=click.Path(),
     help='Settings with controllers and keys; else $MOUNTRIDGE_SETTINGS.',
 )
-AS_JSON = click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
+JSON_OPTION = click.option(
+    '--json', 'as_json', is_flag=True, help='Print JSON.'
+)
 
 
 def fail(problem: errors.MountridgeError) -> typing.NoReturn:
