--- a/mountridge/clihalls.py
+++ b/mountridge/clihalls.py
@@ -29,7 +29,7 @@
 
 
 @group.command('list')
-@clitools.ENTRY
+@clitools.ENTRY_OPTION
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def halls_list(address: str, as_json: bool) -> None:
     """Show all halls that have ever been out of service."""
@@ -43,7 +43,7 @@
 
 
 @group.command('drain')
-@clitools.ENTRY
+@clitools.ENTRY_OPTION
 @HALL
 def halls_drain(address: str, name: str) -> None:
     """Take a hall out of service; requests that run there finish."""
@@ -51,7 +51,7 @@
 
 
 @group.command('restore')
-@clitools.ENTRY
+@clitools.ENTRY_OPTION
 @HALL
 def halls_restore(address: str, name: str) -> None:
     """Put a hall back into service; its runners get requests again."""
--- a/mountridge/cliquarantine.py
+++ b/mountridge/cliquarantine.py
@@ -25,7 +25,7 @@
 
 
 @group.command('list')
-@clitools.ENTRY
+@clitools.ENTRY_OPTION
 @click.option('--json', 'as_json', is_flag=True, help='Print JSON.')
 def quarantine_list(address: str, as_json: bool) -> None:
     """Show requests that are or were quarantined.
@@ -38,7 +38,7 @@
 
 
 @group.command('release')
-@clitools.ENTRY
+@clitools.ENTRY_OPTION
 @click.argument('digest')
 def quarantine_release(address: str, digest: str) -> None:
     """Send a request to runners again, and forget its crashes.
--- a/mountridge/cliroutes.py
+++ b/mountridge/cliroutes.py
@@ -31,7 +31,7 @@
 
 
 @group.command('put')
-@clitools.ENTRY
+@clitools.ENTRY_OPTION
 @click.argument('document', type=click.Path(exists=True))
 def routes_put(address: str, document: str) -> None:
     """Put a routes document.
@@ -48,7 +48,7 @@
 
 
 @group.command('get')
-@clitools.ENTRY
+@clitools.ENTRY_OPTION
 def routes_get(address: str) -> None:
     """Print the routes document with the highest version."""
     answer = clitools.call_entry(
--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -16,7 +16,7 @@
 
 __all__ = [
     'CALL_S',
-    'ENTRY',
+    'ENTRY_OPTION',
     'EXIT_REFUSED',
     'EXIT_UNREACHED',
     'EXIT_USAGE',
@@ -37,7 +37,7 @@
 #: Timeout of a call of a command to a process.
 CALL_S = 10.0
 
-ENTRY = click.option(
+ENTRY_OPTION = click.option(
     '--entry',
     'address',
     required=True,
