--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -113,7 +113,7 @@
 
 
 @main.command()
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 @click.argument('name')
 @click.argument('address')
 def dump(settings_file: str, name: str, address: str) -> None:
@@ -127,7 +127,7 @@
 
 
 @main.command()
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 @clitools.JSON_OPTION
 @click.option(
     '--count', default=20, help='Maximum records per process; 0 for all.'
@@ -186,7 +186,7 @@
 
 
 @main.command()
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 @click.argument('name')
 @click.argument('address')
 def stop(settings_file: str, name: str, address: str) -> None:
--- a/mountridge/clicontrollers.py
+++ b/mountridge/clicontrollers.py
@@ -27,7 +27,7 @@
 
 
 @group.command('status')
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 def controllers_status(settings_file: str) -> None:
     """Show the controllers, the leader, and the lag of each.
 
@@ -38,7 +38,7 @@
 
 
 @group.command('add')
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 @click.argument('name')
 @click.argument('address')
 def controllers_add(settings_file: str, name: str, address: str) -> None:
@@ -51,7 +51,7 @@
 
 
 @group.command('promote')
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 @click.argument('controller_id')
 def controllers_promote(settings_file: str, controller_id: str) -> None:
     """Make a learner that has caught up a voter.
@@ -62,7 +62,7 @@
 
 
 @group.command('remove')
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 @click.argument('controller_id')
 def controllers_remove(settings_file: str, controller_id: str) -> None:
     """Remove a controller by its id.
@@ -74,7 +74,7 @@
 
 
 @group.command('transfer')
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 @click.argument('controller_id', default='')
 def controllers_transfer(settings_file: str, controller_id: str) -> None:
     """Transfer leadership to a voter.
--- a/mountridge/clitable.py
+++ b/mountridge/clitable.py
@@ -33,7 +33,7 @@
 
 
 @group.command()
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 def get(settings_file: str) -> None:
     """Write the table as a sheet (CSV) to standard output.
 
@@ -53,7 +53,7 @@
 
 
 @group.command()
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 @click.argument('sheet', type=click.Path())
 def diff(settings_file: str, sheet: str) -> None:
     """Show the rows that a sheet would add, remove or change."""
@@ -73,7 +73,7 @@
 
 
 @group.command()
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 @clitools.JSON_OPTION
 @click.option(
     '--base',
@@ -134,7 +134,7 @@
 
 
 @group.command('log')
-@clitools.OPERATOR
+@clitools.SETTINGS_OPTION
 @clitools.JSON_OPTION
 def table_log(settings_file: str, as_json: bool) -> None:
     """Show the versions: who put each, when, and whether it is in force.
--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -21,8 +21,8 @@
     'EXIT_UNREACHED',
     'EXIT_USAGE',
     'JSON_OPTION',
-    'OPERATOR',
     'SETTINGS',
+    'SETTINGS_OPTION',
     'call_entry',
     'call_leader',
     'fail',
@@ -44,7 +44,7 @@
     help='IP:PORT of the control API of an entry.',
 )
 SETTINGS = click.argument('settings_file', type=click.Path())
-OPERATOR = click.option(
+SETTINGS_OPTION = click.option(
     '--settings',
     'settings_file',
     envvar='MOUNTRIDGE_SETTINGS',
