--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -35,7 +35,7 @@
 
 
 @main.command()
-@clitools.SETTINGS
+@clitools.SETTINGS_ARGUMENT
 def gateway(settings_file: str) -> None:
     """Run a gateway on an entry box."""
     from mountridge import gateway as daemon
@@ -44,7 +44,7 @@
 
 
 @main.command()
-@clitools.SETTINGS
+@clitools.SETTINGS_ARGUMENT
 def agent(settings_file: str) -> None:
     """Run an agent in front of the runner on its box."""
     from mountridge import agent as daemon
@@ -53,7 +53,7 @@
 
 
 @main.command()
-@clitools.SETTINGS
+@clitools.SETTINGS_ARGUMENT
 def entry(settings_file: str) -> None:
     """Run an entry, with a controller on a box with a disk."""
     from mountridge import entry as daemon
@@ -66,7 +66,7 @@
 
 
 @main.command()
-@clitools.SETTINGS
+@clitools.SETTINGS_ARGUMENT
 def sidecar(settings_file: str) -> None:
     """Run a sidecar beside a model engine."""
     from mountridge.groups import engines
@@ -79,7 +79,7 @@
 
 
 @main.command()
-@clitools.SETTINGS
+@clitools.SETTINGS_ARGUMENT
 def controller(settings_file: str) -> None:
     """Run a controller on a box with a disk."""
     from mountridge import controller as daemon
@@ -206,7 +206,7 @@
 
 
 @settings.command('check')
-@clitools.SETTINGS
+@clitools.SETTINGS_ARGUMENT
 def settings_check(settings_file: str) -> None:
     """Check a settings file and list all errors, with their paths."""
     clitools.load(settings_file)
@@ -214,7 +214,7 @@
 
 
 @settings.command('show')
-@clitools.SETTINGS
+@clitools.SETTINGS_ARGUMENT
 def settings_show(settings_file: str) -> None:
     """Show the settings of a file, with defaults filled in."""
     click.echo(yaml.safe_dump(clitools.load(settings_file), sort_keys=False))
--- a/mountridge/clistorage.py
+++ b/mountridge/clistorage.py
@@ -19,7 +19,7 @@
 
 
 @group.command('init')
-@clitools.SETTINGS
+@clitools.SETTINGS_ARGUMENT
 def storage_init(settings_file: str) -> None:
     """Create the data folder of one of the first controllers.
 
--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -21,7 +21,7 @@
     'EXIT_UNREACHED',
     'EXIT_USAGE',
     'JSON_OPTION',
-    'SETTINGS',
+    'SETTINGS_ARGUMENT',
     'SETTINGS_OPTION',
     'call_entry',
     'call_leader',
@@ -43,7 +43,7 @@
     required=True,
     help='IP:PORT of the control API of an entry.',
 )
-SETTINGS = click.argument('settings_file', type=click.Path())
+SETTINGS_ARGUMENT = click.argument('settings_file', type=click.Path())
 SETTINGS_OPTION = click.option(
     '--settings',
     'settings_file',
