--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -107,7 +107,9 @@
 ) -> typing.Any:
     async def work(app: application.Application) -> typing.Any:
         resolved = _resolve_address(app.settings, address)
-        return await app.connect(resolved, name).call(message, clitools.CALL_S)
+        return await app.connect(resolved, name).call(
+            message, clitools.CALL_TIMEOUT_S
+        )
 
     return clitools.operate(path, work)
 
@@ -145,7 +147,7 @@
 
     async def work(app: application.Application) -> list[dict]:
         state = await members.Leader(app).call(
-            messages.ReadMembers(), clitools.CALL_S
+            messages.ReadMembers(), clitools.CALL_TIMEOUT_S
         )
         found: list[dict] = []
 
--- a/mountridge/clitable.py
+++ b/mountridge/clitable.py
@@ -66,7 +66,9 @@
 
 async def _wait_in_force(leader: members.Leader, index: int) -> None:
     while True:
-        reply = await leader.call(messages.ReadTable(), clitools.CALL_S)
+        reply = await leader.call(
+            messages.ReadTable(), clitools.CALL_TIMEOUT_S
+        )
         if reply.in_force_index >= index:
             return
         await trio.sleep(0.05)
@@ -115,7 +117,7 @@
 
     async def work(app: application.Application) -> messages.PutTableReply:
         leader = members.Leader(app)
-        reply = await leader.call(message, clitools.CALL_S)
+        reply = await leader.call(message, clitools.CALL_TIMEOUT_S)
         if wait and reply.accepted:
             await _wait_in_force(leader, reply.index)
         return reply
--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -15,7 +15,7 @@
 from mountridge.state import members
 
 __all__ = [
-    'CALL_S',
+    'CALL_TIMEOUT_S',
     'ENTRY_OPTION',
     'EXIT_REFUSED',
     'EXIT_UNREACHED',
@@ -35,7 +35,7 @@
 EXIT_USAGE = 2
 EXIT_UNREACHED = 3
 #: Timeout of a call of a command to a process.
-CALL_S = 10.0
+CALL_TIMEOUT_S = 10.0
 
 ENTRY_OPTION = click.option(
     '--entry',
@@ -75,7 +75,7 @@
             (b'Host', address.encode()),
             (b'Content-Length', b'%d' % len(body)),
         ]
-        with trio.fail_after(CALL_S):
+        with trio.fail_after(CALL_TIMEOUT_S):
             async with pool.request(
                 address, method, target, headers, body, None
             ) as reply:
@@ -130,7 +130,7 @@
     """Return the reply of the leading controller, or exit with its error."""
 
     async def work(app: application.Application) -> typing.Any:
-        return await members.Leader(app).call(message, CALL_S)
+        return await members.Leader(app).call(message, CALL_TIMEOUT_S)
 
     return operate(path, work)
 
