--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -17,8 +17,8 @@
 __all__ = [
     'CALL_TIMEOUT_S',
     'ENTRY_OPTION',
+    'EXIT_NO_ANSWER',
     'EXIT_REFUSED',
-    'EXIT_UNREACHED',
     'EXIT_USAGE',
     'JSON_OPTION',
     'SETTINGS_ARGUMENT',
@@ -33,7 +33,7 @@
 
 EXIT_REFUSED = 1
 EXIT_USAGE = 2
-EXIT_UNREACHED = 3
+EXIT_NO_ANSWER = 3
 #: Timeout of a call of a command to a process.
 CALL_TIMEOUT_S = 10.0
 
@@ -61,7 +61,7 @@
     """Print an error's code and message, and exit."""
     click.echo(f'error {problem.code}: {problem}', err=True)
     unreached = isinstance(problem, errors.NoController)
-    sys.exit(EXIT_UNREACHED if unreached else EXIT_REFUSED)
+    sys.exit(EXIT_NO_ANSWER if unreached else EXIT_REFUSED)
 
 
 def call_entry(
