--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -111,7 +111,7 @@
             message, clitools.CALL_TIMEOUT_S
         )
 
-    return clitools.operate(path, work)
+    return clitools.run_as_operator(path, work)
 
 
 @main.command()
@@ -165,7 +165,7 @@
                 nursery.start_soon(ask_member, member)
         return sorted(found, key=lambda record: record['at_s'])
 
-    records = clitools.operate(settings_file, work)
+    records = clitools.run_as_operator(settings_file, work)
     if as_json:
         click.echo(json.dumps(records))
         return
--- a/mountridge/clistorage.py
+++ b/mountridge/clistorage.py
@@ -69,7 +69,7 @@
                     f'{name} belongs to a running system'
                 )
 
-    clitools.operate(path, work)
+    clitools.run_as_operator(path, work)
 
 
 async def _is_listening(address: str) -> bool:
--- a/mountridge/clitable.py
+++ b/mountridge/clitable.py
@@ -122,7 +122,7 @@
             await _wait_in_force(leader, reply.index)
         return reply
 
-    reply = clitools.operate(settings_file, work)
+    reply = clitools.run_as_operator(settings_file, work)
     if as_json:
         click.echo(json.dumps(reply._asdict()))
     elif reply.accepted:
--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -28,7 +28,7 @@
     'fail',
     'first',
     'load',
-    'operate',
+    'run_as_operator',
 ]
 
 EXIT_REFUSED = 1
@@ -101,7 +101,7 @@
         fail(problem)
 
 
-def operate(path: str, work: typing.Callable) -> typing.Any:
+def run_as_operator(path: str, work: typing.Callable) -> typing.Any:
     """Run ``work(application)`` as an operator, and return its result.
 
     Connects with the key of ``operator_key`` if the settings name one. Exits
@@ -132,7 +132,7 @@
     async def work(app: application.Application) -> typing.Any:
         return await members.Leader(app).call(message, CALL_TIMEOUT_S)
 
-    return operate(path, work)
+    return run_as_operator(path, work)
 
 
 def first(group: BaseExceptionGroup) -> errors.MountridgeError:
