--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -95,7 +95,7 @@
     try:
         run(loaded)
     except* errors.MountridgeError as group:
-        clitools.fail(clitools.first(group))
+        clitools.fail(clitools.first_error(group))
 
 
 def _resolve_address(loaded: dict, address: str) -> str:
--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -26,7 +26,7 @@
     'call_entry',
     'call_leader',
     'fail',
-    'first',
+    'first_error',
     'load',
     'run_as_operator',
 ]
@@ -123,7 +123,7 @@
     try:
         return trio.run(main)
     except* errors.MountridgeError as group:
-        fail(first(group))
+        fail(first_error(group))
 
 
 def call_leader(path: str, message: typing.Any) -> typing.Any:
@@ -135,7 +135,7 @@
     return run_as_operator(path, work)
 
 
-def first(group: BaseExceptionGroup) -> errors.MountridgeError:
+def first_error(group: BaseExceptionGroup) -> errors.MountridgeError:
     """Return the first error of a group, which may be nested."""
     found: BaseException = group
     while isinstance(found, BaseExceptionGroup):
