--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -88,7 +88,7 @@
 
 
 def _run_daemon(run: typing.Callable, path: str, role: str) -> None:
-    loaded = clitools.load(path)
+    loaded = clitools.load_settings(path)
     if loaded['role'] != role:
         clitools.fail(errors.BadSettings(f'role: expected {role}'))
     logs.open_log(loaded)
@@ -211,7 +211,7 @@
 @clitools.SETTINGS_ARGUMENT
 def settings_check(settings_file: str) -> None:
     """Check a settings file and list all errors, with their paths."""
-    clitools.load(settings_file)
+    clitools.load_settings(settings_file)
     click.echo('no errors')
 
 
@@ -219,7 +219,9 @@
 @clitools.SETTINGS_ARGUMENT
 def settings_show(settings_file: str) -> None:
     """Show the settings of a file, with defaults filled in."""
-    click.echo(yaml.safe_dump(clitools.load(settings_file), sort_keys=False))
+    click.echo(
+        yaml.safe_dump(clitools.load_settings(settings_file), sort_keys=False)
+    )
 
 
 @main.group('keys')
--- a/mountridge/clistorage.py
+++ b/mountridge/clistorage.py
@@ -28,7 +28,7 @@
     a controller that lost its disk with an empty folder instead, and add it
     with `controllers add`.
     """
-    loaded = clitools.load(settings_file)
+    loaded = clitools.load_settings(settings_file)
     names = loaded['controllers']
     _refuse_if_running(
         settings_file, [n for n in names if n != loaded['name']]
--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -27,7 +27,7 @@
     'call_leader',
     'fail',
     'first_error',
-    'load',
+    'load_settings',
     'run_as_operator',
 ]
 
@@ -93,7 +93,7 @@
     return answer
 
 
-def load(path: str) -> dict:
+def load_settings(path: str) -> dict:
     """Return checked settings, or exit with their errors."""
     try:
         return settings_module.load(path)
@@ -107,7 +107,7 @@
     Connects with the key of ``operator_key`` if the settings name one. Exits
     with the first error of the work.
     """
-    settings = load(path)
+    settings = load_settings(path)
     settings['name'] = settings['operator_key'] or settings['name']
 
     async def main() -> typing.Any:
