--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -60,8 +60,8 @@
 def fail(problem: errors.MountridgeError) -> typing.NoReturn:
     """Print an error's code and message, and exit."""
     click.echo(f'error {problem.code}: {problem}', err=True)
-    unreached = isinstance(problem, errors.NoController)
-    sys.exit(EXIT_NO_ANSWER if unreached else EXIT_REFUSED)
+    no_answer = isinstance(problem, errors.NoController)
+    sys.exit(EXIT_NO_ANSWER if no_answer else EXIT_REFUSED)
 
 
 def call_entry(
