--- a/features/operations.feature
+++ b/features/operations.feature
@@ -1,10 +1,10 @@
-Feature: Leaving, planned stops, classes, shares and limits
+Feature: Draining, planned stops, priorities, fair shares and limits
 
-  Scenario Outline: A planned stop of <what> cuts off no request
+  Scenario Outline: A planned stop of <what> interrupts no request
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When callers ask all the time and <what> is stopped as planned at 3 s
-    Then every caller has its own whole answer
-    And the stopped process has ended, and had no new work after 3 s
+    When callers send requests continuously and <what> begins a planned stop at 3 s
+    Then every caller gets its own complete answer
+    And the stopped process has exited, and started no work more than 3 s after the stop
 
     Examples:
       | what       |
@@ -12,67 +12,67 @@
       | a gateway  |
       | the leader |
 
-  Scenario: Rolling through all boxes under load cuts off no request
+  Scenario: A rolling restart of all boxes under load interrupts no request
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When callers ask all the time and every box is stopped and started in turn
-    Then every caller has its own whole answer
+    When callers send requests continuously and every box is restarted in turn
+    Then every caller gets its own complete answer
 
-  Scenario: An agent leaving by itself bars gateways that have heard nothing
+  Scenario: An agent that drains rejects gateways that are not informed
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When an agent leaves while no gateway can hear the controllers
-    Then it takes no new work from that moment
+    When an agent drains while no gateway can reach the controllers
+    Then it starts no new work from then on
 
-  Scenario: An agent that hears no controller takes no work
+  Scenario: An agent that receives nothing from controllers starts no work
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When an agent renews but hears no answers while callers ask
-    Then it takes no new work once its lease is out
+    When an agent renews but receives no answers while callers send requests
+    Then it starts no new work once its lease has expired
 
   Scenario: Alarm pings do not wait behind drafting
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When drafting comes at 5 times what the runners can do, with 5 pings a second
+    When drafting arrives at 5 times the capacity of the runners, with 5 pings a second
     Then no ping waits longer than 0.2 s and none is refused
-    And what is refused is told at once when to come back, at spread times
+    And refusals come at once, each with a time to retry, and these are spread
 
   Scenario: A large team does not starve a small one
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When a large team asks 20 times as much as a small one of equal weight
-    Then the small team has at least 9 in 10 of its answers
-    And the large team still uses what the small one leaves
+    When a large team sends 20 times as many requests as a small one of equal weight
+    Then the small team gets at least 9 in 10 of its answers
+    And the large team still uses the remaining capacity
 
   Scenario: Pings are limited, so that they can't starve drafting
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When pings come far above their limit while drafting goes on
-    Then never more pings run at once than their row allows
+    When pings arrive far above their limit during drafting
+    Then no more pings run concurrently than their row allows
     And drafting still gets its answers
 
   Scenario Outline: The sum over gateways keeps to the limit: <fault>
     Given a system of 4 gateways, 2 agents and 3 controllers
-    When a row of 12 at once is asked far above it and <fault>
-    Then never more than 12 run at once
-    And at least 8 run at once for most of the time
+    When a row limited to 12 concurrent requests is overloaded and <fault>
+    Then no more than 12 requests run concurrently
+    And at least 8 run concurrently for most of the time
 
     Examples:
       | fault                                    |
       | nothing fails                            |
       | demand moves between gateways            |
-      | a gateway is killed and starts afresh    |
+      | a gateway is killed and restarted        |
       | a gateway is cut off from the controllers|
       | the leader is killed                     |
-      | the leader is cut off in silence         |
+      | the leader is cut off from all others    |
 
-  Scenario: A stalled runner is found and left out, then probed back
+  Scenario: A stalled runner is detected and excluded, then probed and used again
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When a runner stalls for 20 s while callers ask
-    Then at most 1 in 10 callers has no answer
+    When a runner stalls for 20 s while callers send requests
+    Then at most 1 in 10 callers gets no answer
     And no caller waits longer than 20 s
-    And the runner has work again within 40 s of its recovery
+    And the runner is used again within 40 s of its recovery
 
-  Scenario: Retries stay within their budget when all runners cut answers
+  Scenario: Retries stay within their budget when all runners break off answers
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When every runner cuts every answer and 200 callers ask
-    Then the runners see at most 1.25 times as many requests
+    When every runner breaks off every answer and 200 requests are sent
+    Then the runners receive at most 1.25 times as many requests
 
-  Scenario: A vanished caller frees its runner's work
+  Scenario: Work for a vanished caller is cancelled at its runner
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When a caller vanishes in the middle of a long answer
+    When a caller disconnects in the middle of a long answer
     Then the runner stops that work within 1 s
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -288,12 +288,12 @@
     Mutant(
         'agents with no lease', 'agent',
         'if not self.held.valid(now_s):', 'if False:', 'operations',
-        'hears no controller',
+        'receives nothing from controllers',
     ),
     Mutant(
         'an agent that takes work while it leaves', 'agent',
         '        if self.draining:\n            raise errors.Draining()\n',
-        '', 'operations', 'leaving by itself|planned stop',
+        '', 'operations', 'agent that drains|planned stop',
     ),
     Mutant(
         'no wait for kept addresses', 'gateway',
