--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What commands share: options, exit codes, errors, calls to processes."""
+"""Options, exit codes, error handling and calls shared by the commands."""
 
 import json
 import sys
@@ -15,57 +15,59 @@
 from mountridge.state import members
 
 __all__ = [
-    'AS_JSON',
-    'CALL_S',
-    'ENTRY',
+    'CALL_TIMEOUT_S',
+    'ENTRY_OPTION',
+    'EXIT_NO_ANSWER',
     'EXIT_REFUSED',
-    'EXIT_UNREACHED',
     'EXIT_USAGE',
-    'OPERATOR',
-    'SETTINGS',
+    'JSON_OPTION',
+    'SETTINGS_ARGUMENT',
+    'SETTINGS_OPTION',
     'call_entry',
     'call_leader',
     'fail',
-    'first',
-    'load',
-    'operate',
+    'first_error',
+    'load_settings',
+    'run_as_operator',
 ]
 
 EXIT_REFUSED = 1
 EXIT_USAGE = 2
-EXIT_UNREACHED = 3
-#: How long a process may take to answer a command.
-CALL_S = 10.0
+EXIT_NO_ANSWER = 3
+#: Timeout of a call of a command to a process.
+CALL_TIMEOUT_S = 10.0
 
-ENTRY = click.option(
+ENTRY_OPTION = click.option(
     '--entry',
     'address',
     required=True,
-    help='IP:PORT at which an entry takes control calls.',
+    help='IP:PORT of the control API of an entry.',
 )
-SETTINGS = click.argument('settings_file', type=click.Path())
-OPERATOR = click.option(
+SETTINGS_ARGUMENT = click.argument('settings_file', type=click.Path())
+SETTINGS_OPTION = click.option(
     '--settings',
     'settings_file',
     envvar='MOUNTRIDGE_SETTINGS',
     required=True,
     type=click.Path(),
-    help='Settings with the controllers and keys.',
+    help='Settings with controllers and keys; else $MOUNTRIDGE_SETTINGS.',
+)
+JSON_OPTION = click.option(
+    '--json', 'as_json', is_flag=True, help='Print JSON.'
 )
-AS_JSON = click.option('--json', 'as_json', is_flag=True, help='For programs.')
 
 
 def fail(problem: errors.MountridgeError) -> typing.NoReturn:
-    """End the command with an error's code and text."""
+    """Print an error's code and message, and exit."""
     click.echo(f'error {problem.code}: {problem}', err=True)
-    unreached = isinstance(problem, errors.NoController)
-    sys.exit(EXIT_UNREACHED if unreached else EXIT_REFUSED)
+    no_answer = isinstance(problem, errors.NoController)
+    sys.exit(EXIT_NO_ANSWER if no_answer else EXIT_REFUSED)
 
 
 def call_entry(
     address: str, method: bytes, target: bytes, body: bytes
 ) -> bytes:
-    """Return the body of an entry's answer, or end with its error."""
+    """Return the body of an entry's response, or exit with its error."""
 
     async def work() -> tuple[int, bytes]:
         pool = lasthop.Pool(dialects.NATIVE.headers, clocks.now_s)
@@ -73,7 +75,7 @@
             (b'Host', address.encode()),
             (b'Content-Length', b'%d' % len(body)),
         ]
-        with trio.fail_after(CALL_S):
+        with trio.fail_after(CALL_TIMEOUT_S):
             async with pool.request(
                 address, method, target, headers, body, None
             ) as reply:
@@ -84,24 +86,28 @@
     except errors.MountridgeError as problem:
         fail(errors.NoController(str(problem)))
     except trio.TooSlowError:
-        fail(errors.NoController(f'{address} gave no answer'))
+        fail(errors.NoController(f'{address} did not answer in time'))
     if status != 200:
-        told = json.loads(answer)['error']
-        fail(errors.by_code(told['code'])(told['message']))
+        refusal = json.loads(answer)['error']
+        fail(errors.by_code(refusal['code'])(refusal['message']))
     return answer
 
 
-def load(path: str) -> dict:
-    """Return checked settings, or end with their errors."""
+def load_settings(path: str) -> dict:
+    """Return checked settings, or exit with their errors."""
     try:
         return settings_module.load(path)
     except errors.MountridgeError as problem:
         fail(problem)
 
 
-def operate(path: str, work: typing.Callable) -> typing.Any:
-    """Run ``work(application)`` with connections, and return its result."""
-    settings = load(path)
+def run_as_operator(path: str, work: typing.Callable) -> typing.Any:
+    """Run ``work(application)`` as an operator, and return its result.
+
+    Connects with the key of ``operator_key`` if the settings name one. Exits
+    with the first error of the work.
+    """
+    settings = load_settings(path)
     settings['name'] = settings['operator_key'] or settings['name']
 
     async def main() -> typing.Any:
@@ -117,20 +123,20 @@
     try:
         return trio.run(main)
     except* errors.MountridgeError as group:
-        fail(first(group))
+        fail(first_error(group))
 
 
 def call_leader(path: str, message: typing.Any) -> typing.Any:
-    """Return the reply of the controller that leads, or end with its error."""
+    """Return the reply of the leading controller, or exit with its error."""
 
     async def work(app: application.Application) -> typing.Any:
-        return await members.Leader(app).call(message, CALL_S)
+        return await members.Leader(app).call(message, CALL_TIMEOUT_S)
 
-    return operate(path, work)
+    return run_as_operator(path, work)
 
 
-def first(group: BaseExceptionGroup) -> errors.MountridgeError:
-    """Return the first of our own errors in a group."""
+def first_error(group: BaseExceptionGroup) -> errors.MountridgeError:
+    """Return the first error of a group, which may be nested."""
     found: BaseException = group
     while isinstance(found, BaseExceptionGroup):
         found = found.exceptions[0]
