--- a/mountridge/dispatch/decisions.py
+++ b/mountridge/dispatch/decisions.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Records of decisions, each with its reason, for `mountridge ask`."""
+"""Log of decisions about requests with their reasons, for `mountridge ask`."""
 
 import collections
 import time
@@ -20,9 +20,9 @@
     what: str  # admit, place, refuse, retry, run, end, ...
     team: str
     service: str
-    row: str  # key of the row that ruled, '' for none
+    row: str  # key of the table row that applies, '' for none
     table_version: int
-    code: int  # 0 where nothing was refused
+    code: int  # error code, 0 if nothing was refused
     reason: str
 
 
@@ -47,7 +47,7 @@
         table_version: int = 0,
         code: int = 0,
     ) -> Decision:
-        """Record and return a decision made now."""
+        """Record a decision with the current time and return it."""
         record = Decision(
             time.time(),
             self._by,
@@ -65,10 +65,14 @@
         return record
 
     def find(self, request_id: str, count: int) -> list[dict]:
-        """Return records of a request, or the newest where it is ''."""
-        found = [
+        """Return the newest ``count`` records of a request, oldest first.
+
+        All requests are included if ``request_id`` is '', all records of
+        them if ``count`` is 0.
+        """
+        matching = [
             record._asdict()
             for record in self._ring
             if not request_id or record.request_id == request_id
         ]
-        return found[-count:] if count else found
+        return matching[-count:] if count else matching
