--- a/mountridge/dispatch/attempts.py
+++ b/mountridge/dispatch/attempts.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Attempts of a gateway: tickets sent, frames that come back for them."""
+"""Attempts of a gateway: the answers received for the tickets it sent."""
 
 import collections
 import typing
@@ -11,12 +11,12 @@
 
 __all__ = ['Attempt', 'Attempts']
 
-#: Bytes that may wait for a slow caller before its answer is given up.
-MAX_BUFFER = 4 << 20
+#: Bytes buffered for a slow caller before the attempt is failed.
+MAX_BUFFER_BYTES = 4 << 20
 
 
 class Attempt:
-    """The answer to one attempt, as it arrives."""
+    """The answer to one attempt, buffered as it arrives."""
 
     def __init__(self, attempt_id: str, agent: str):
         self.attempt_id = attempt_id
@@ -26,17 +26,17 @@
         self.ended = False
         self.problem: errors.MountridgeError | None = None
         self._data: collections.deque[bytes] = collections.deque()
-        self._waiting_bytes = 0
-        self._wake = trio.Event()
+        self._buffered_bytes = 0
+        self._changed = trio.Event()
 
     def take(self, frame: messages.Frame) -> bool:
-        """Take a frame; false where it does not follow on the last one."""
+        """Append a frame; return false if it is not the next one expected."""
         if self.ended or frame.position != self.position:
             return False
         self.status = frame.status or self.status
         if frame.data:
             self.position += len(frame.data)
-            self._waiting_bytes += len(frame.data)
+            self._buffered_bytes += len(frame.data)
             self._data.append(frame.data)
         if frame.code:
             self.fail(
@@ -46,32 +46,30 @@
             )
         elif frame.end:
             self.ended = True
-        elif self._waiting_bytes > MAX_BUFFER:
+        elif self._buffered_bytes > MAX_BUFFER_BYTES:
             self.fail(errors.BadAnswer('the caller reads too slowly'))
-        self._wake.set()
+        self._changed.set()
         return True
 
     def fail(self, problem: errors.MountridgeError) -> None:
-        """End the attempt with a problem."""
+        """End the attempt with an error, unless it has ended already."""
         if not self.ended:
             self.problem = problem
             self.ended = True
-            self._wake.set()
+            self._changed.set()
 
     async def read(self) -> bytes:
-        """Return all bytes that have come, b'' at the explicit end.
+        """Wait for data and return all that is buffered, b'' at the end.
 
-        Pieces that came while the caller was slow are merged.
-
-        :raises MountridgeError: the answer ends here without its end.
+        :raises MountridgeError: the answer was cut off before its end.
         """
         while not self._data and not self.ended:
-            self._wake = trio.Event()
-            await self._wake.wait()
+            self._changed = trio.Event()
+            await self._changed.wait()
         if self._data:
             data = b''.join(self._data)
             self._data.clear()
-            self._waiting_bytes = 0
+            self._buffered_bytes = 0
             return data
         if self.problem:
             raise self.problem
@@ -79,40 +77,46 @@
 
 
 class Attempts:
-    """The open attempts of a gateway by their id."""
+    """The open attempts of a gateway by id.
+
+    ``incr`` increments the counter of the given name.
+    """
 
-    def __init__(self, count: typing.Callable[[str], None]):
-        self._count = count
+    def __init__(self, incr: typing.Callable[[str], None]):
+        self._incr = incr
         self.open: dict[str, Attempt] = {}
 
     def add(self, attempt: Attempt) -> None:
-        """Take frames for ``attempt`` from now on."""
+        """Start to deliver frames to ``attempt``."""
         self.open[attempt.attempt_id] = attempt
 
     def remove(self, attempt: Attempt) -> None:
-        """Take no more frames for ``attempt``."""
+        """Stop to deliver frames to ``attempt``."""
         self.open.pop(attempt.attempt_id, None)
 
     def take(self, frames: list[messages.Frame]) -> None:
-        """Hand frames to their attempts; those of no one are counted."""
+        """Deliver frames to their attempts and count those of none.
+
+        A gap in the positions fails the attempt.
+        """
         for frame in frames:
             attempt = self.open.get(frame.attempt_id)
             if attempt is None:
-                self._count('frame.stray')
+                self._incr('frame.stray')
             elif not attempt.take(frame):
-                self._count('frame.out_of_place')
+                self._incr('frame.out_of_place')
                 if frame.position > attempt.position:
                     attempt.fail(errors.BadAnswer('a frame was lost'))
 
     def fail_some(self, attempt_ids: list[str], reason: str) -> None:
-        """End attempts whose tickets may not have come."""
+        """Fail attempts whose tickets may be lost, unless data has arrived."""
         for attempt_id in attempt_ids:
             attempt = self.open.get(attempt_id)
             if attempt and not attempt.position:
                 attempt.fail(errors.OutcomeUnknown(reason))
 
     def fail_agent(self, agent: str, reason: str) -> None:
-        """End the attempts at an agent that is gone, restarted or silent."""
+        """Fail all attempts at an agent that restarted or is unresponsive."""
         for attempt in list(self.open.values()):
             if attempt.agent == agent:
                 attempt.fail(errors.OutcomeUnknown(f'{agent}: {reason}'))
