--- a/mountridge/dispatch/attempts.py
+++ b/mountridge/dispatch/attempts.py
@@ -87,11 +87,11 @@
         self.open: dict[str, Attempt] = {}
 
     def add(self, attempt: Attempt) -> None:
-        """Start to deliver frames to ``attempt``."""
+        """Start delivering frames to ``attempt``."""
         self.open[attempt.attempt_id] = attempt
 
     def remove(self, attempt: Attempt) -> None:
-        """Stop to deliver frames to ``attempt``."""
+        """Stop delivering frames to ``attempt``."""
         self.open.pop(attempt.attempt_id, None)
 
     def take(self, frames: list[messages.Frame]) -> None:
