--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -127,7 +127,9 @@
         candidates = self.runners.candidates(
             exchange.service, exchange.groups, now_s
         )
-        others = [c for c in candidates if c.name not in exchange.tried]
+        others = [
+            c for c in candidates if c.name not in exchange.attempted_agents
+        ]
         choice = placing.choose(
             others or candidates,
             self.app.settings['hall'],
@@ -139,7 +141,7 @@
                 f'no live runner for {exchange.service!r}',
                 retry_after_s=RETRY_AFTER_S,
             )
-        exchange.tried.add(choice.name)
+        exchange.attempted_agents.add(choice.name)
         self._remember(exchange.prefix, choice.name)
         return choice
 
@@ -166,7 +168,7 @@
             tables.PRIORITIES.index(row.priority),
             row.weight,
             row.queue_s,
-            exchange.left_s(now_s),
+            exchange.time_left_s(now_s),
             exchange.key,
             state.agent_s(now_s),
             reason,
@@ -227,7 +229,7 @@
         An answer that is not streamed comes all at its end, so only its
         deadline bounds it.
         """
-        left_s = max(0.0, exchange.left_s(self.app.now_s()))
+        left_s = max(0.0, exchange.time_left_s(self.app.now_s()))
         if exchange.streamed:
             stall_s = exchange.row.queue_s + self.settings['stall_s']
             left_s = min(left_s, stall_s)
@@ -285,7 +287,7 @@
         exchange.streamed = not whole
         self.budget.first_try(exchange.team)
         while True:
-            exchange.tries += 1
+            exchange.attempts += 1
             try:
                 attempt, data = await self._try(exchange)
                 if whole:
@@ -323,9 +325,9 @@
         again = retries.may_retry(
             problem,
             exchange.row.repeatable,
-            exchange.tries,
+            exchange.attempts,
             self.settings['attempts'],
-            exchange.left_s(self.app.now_s()),
+            exchange.time_left_s(self.app.now_s()),
         )
         if not again:
             raise problem
--- a/mountridge/dispatch/exchanges.py
+++ b/mountridge/dispatch/exchanges.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""One caller's request and its answer, as the gateway's filters see it."""
+"""The state of one caller's request in the gateway."""
 
 import typing
 
@@ -10,7 +10,7 @@
 
 
 class Exchange:
-    """State of one request on its way through the filter chain."""
+    """One request, from the filter chain to the end of its answer."""
 
     def __init__(
         self,
@@ -28,27 +28,27 @@
         self.path = path
         self.body = body
         self.key = key
-        self.begun_s = now_s
+        self.started_s = now_s
         self.deadline_at_s = now_s
         self.row: tables.Row | None = None
         self.groups: set[str] = set()
         self.table_version = 0
         self.prefix = ''
-        self.tries = 0
-        #: An earlier sending with the same key may have run, for all that
-        #: is known here; cleared by the answer to a claim.
+        self.attempts = 0
+        #: An earlier request with the same key may have run. Cleared when
+        #: a claim of the key is granted.
         self.may_have_run = False
-        #: Agents that failed this request; others go first.
-        self.tried: set[str] = set()
+        #: Agents selected in earlier attempts; others are preferred.
+        self.attempted_agents: set[str] = set()
         self.streamed = False
-        #: Run once, in reverse order, when the exchange is over.
+        #: Called once each, in reverse order, by `close`.
         self.cleanups: list[typing.Callable[[], None]] = []
 
-    def left_s(self, now_s: float) -> float:
+    def time_left_s(self, now_s: float) -> float:
         """Return the time left before the deadline."""
         return self.deadline_at_s - now_s
 
     def close(self) -> None:
-        """Give back what the filters took."""
+        """Release what the filters reserved for the request."""
         while self.cleanups:
             self.cleanups.pop()()
