--- a/mountridge/dispatch/exchanges.py
+++ b/mountridge/dispatch/exchanges.py
@@ -36,7 +36,7 @@
         self.prefix = ''
         self.attempts = 0
         #: An earlier request with the same key may have run. Cleared when
-        #: a claim of the key is granted.
+        #: a reply to a claim rules it out.
         self.may_have_run = False
         #: Agents selected in earlier attempts; others are preferred.
         self.attempted_agents: set[str] = set()
--- a/mountridge/dispatch/filters.py
+++ b/mountridge/dispatch/filters.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The filter chain: each filter lets a request pass, or refuses it.
+"""The filter chain that each request passes before it is dispatched.
 
 A filter is a function of (exchange, now_s). It raises a `MountridgeError`
-to refuse, and adds to ``exchange.cleanups`` what must be given back.
+to refuse the request, and adds to ``exchange.cleanups`` a function for each
+resource that must be released.
 """
 
 import functools
@@ -21,21 +22,24 @@
 
 Filter = typing.Callable[[exchanges.Exchange, float], None]
 
-#: What of a request's body stands for its cached prefix, in bytes.
+#: Length of the part of the body that identifies its prompt prefix.
 PREFIX_BYTES = 1024
 
 
 class Rows:
-    """The rows of the view by team and service, made anew on a change."""
+    """Index of the view's table rows by team and service.
 
-    def __init__(self, held: leases.HeldLease):
-        self._held = held
+    It is rebuilt when the revision of the view has changed.
+    """
+
+    def __init__(self, lease: leases.HeldLease):
+        self._lease = lease
         self._revision = -1
         self._rows: dict[str, dict[str, list[tables.Row]]] = {}
         self.version = 0
 
     def _refresh(self) -> None:
-        view = self._held.view
+        view = self._lease.view
         if view.revision == self._revision:
             return
         self._revision = view.revision
@@ -50,7 +54,8 @@
     def find(self, team: str, service: str) -> list[tables.Row]:
         """Return the rows of a team for a service.
 
-        :raises UnknownTeam, UnknownModel: where there is none.
+        :raises UnknownTeam: the team has no rows.
+        :raises UnknownModel: the team has no row for the service.
         """
         self._refresh()
         services = self._rows.get(team)
@@ -64,21 +69,21 @@
         return found
 
     def services(self, team: str) -> list[str]:
-        """Return the services that a team has rows for."""
+        """Return the names of the services that a team has rows for."""
         self._refresh()
         return sorted(self._rows.get(team, {}))
 
 
 def check_lease(
-    held: leases.HeldLease, exchange: exchanges.Exchange, now_s: float
+    lease: leases.HeldLease, exchange: exchanges.Exchange, now_s: float
 ) -> None:
-    """Refuse while this gateway may act on an old table only."""
-    if not held.valid(now_s):
+    """Refuse requests without a valid lease: the table may be outdated."""
+    if not lease.valid(now_s):
         raise errors.NoLease(retry_after_s=1.0)
 
 
 def find_row(rows: Rows, exchange: exchanges.Exchange, now_s: float) -> None:
-    """Find the rows that rule; the first one sets limits and deadline."""
+    """Look up the rows that apply; the first sets limits and deadline."""
     found = rows.find(exchange.team, exchange.service)
     exchange.row = found[0]
     exchange.groups = {row.expert_group for row in found}
@@ -87,7 +92,10 @@
 
 
 def check_key(exchange: exchanges.Exchange, now_s: float) -> None:
-    """Refuse a call that may not be repeated and has no fit key."""
+    """Require an idempotency key for calls that may not be repeated.
+
+    :raises KeyRequired: the key is missing or carries no time.
+    """
     if exchange.row.repeatable:
         exchange.key = ''
     else:
@@ -96,17 +104,17 @@
         exchange.key = f'{exchange.team}/{exchange.service}/{exchange.key}'
 
 
-def mark_prefix(exchange: exchanges.Exchange, now_s: float) -> None:
-    """Name the prefix by which a runner's cache may know the request."""
+def hash_prefix(exchange: exchanges.Exchange, now_s: float) -> None:
+    """Set the digest of the prefix that a runner may have in its cache."""
     head = exchange.body[:PREFIX_BYTES]
     exchange.prefix = xxhash.xxh64_hexdigest(head)
 
 
-def chain(held: leases.HeldLease, rows: Rows) -> list[Filter]:
-    """Return the filters in the order in which they are run."""
+def chain(lease: leases.HeldLease, rows: Rows) -> list[Filter]:
+    """Return the filters in the order in which they are applied."""
     return [
-        functools.partial(check_lease, held),
+        functools.partial(check_lease, lease),
         functools.partial(find_row, rows),
         check_key,
-        mark_prefix,
+        hash_prefix,
     ]
