--- a/mountridge/dispatch/outboxes.py
+++ b/mountridge/dispatch/outboxes.py
@@ -47,7 +47,7 @@
         """Return the link of a gateway that is in use now."""
         now_s = self._app.now_s()
         link = self.links.setdefault(route, links.GatewayLink(now_s))
-        link.used_s = now_s
+        link.last_used_s = now_s
         return link
 
     def put(self, route: bytes, frame: messages.Frame) -> None:
@@ -76,22 +76,25 @@
         message = messages.Frames(self._frames[route], self._load(link))
         if self._app.send(route, message):
             del self._frames[route]
-            link.stuck_s = None
+            link.blocked_since_s = None
             return
         link.frames_seq -= 1
         self._app.metrics.incr('frames.stuck')
-        if link.stuck_s is None:
-            link.stuck_s = self._app.now_s()
+        if link.blocked_since_s is None:
+            link.blocked_since_s = self._app.now_s()
 
     def report(self) -> None:
         """Send the load to gateways that used this agent of late."""
         now_s = self._app.now_s()
         for route, link in list(self.links.items()):
-            if link.stuck_s is not None and now_s - link.stuck_s > STUCK_S:
+            if (
+                link.blocked_since_s is not None
+                and now_s - link.blocked_since_s > STUCK_S
+            ):
                 self.lose(route)
             elif route in self._frames:
                 self._wake.set()
-            elif now_s - link.used_s < REPORT_FOR_S:
+            elif now_s - link.last_used_s < REPORT_FOR_S:
                 self._app.send(route, self._load(link))
 
     def lose(self, route: bytes) -> None:
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -241,7 +241,7 @@
     ),
     Mutant(
         'lost tickets that no one counts', 'links',
-        'if now_s - sent_s > LATE_S', 'if False', 'requests', 'Whole',
+        'if now_s - sent_s > TICKET_TIMEOUT_S', 'if False', 'requests', 'Whole',
     ),
     Mutant(
         'work of a vanished caller goes on', 'dispatching',
