--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -241,7 +241,8 @@
     ),
     Mutant(
         'lost tickets that no one counts', 'links',
-        'if now_s - sent_s > TICKET_TIMEOUT_S', 'if False', 'requests', 'Whole',
+        'if now_s - sent_s > TICKET_TIMEOUT_S', 'if False', 'requests',
+        'Whole',
     ),
     Mutant(
         'work of a vanished caller goes on', 'dispatching',
@@ -283,7 +284,7 @@
     ),
     Mutant(
         'gateways with no lease', 'filters',
-        'if not held.valid(now_s):', 'if False:', 'configuration',
+        'if not lease.valid(now_s):', 'if False:', 'configuration',
     ),
     Mutant(
         'agents with no lease', 'agent',
