--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -92,7 +92,7 @@
     def on_ticket(self, peer, ticket: messages.Ticket) -> None:
         """Accept or refuse a ticket; the answer comes as frames."""
         now_s = self.app.now_s()
-        self.outbox.link(peer.route).ticket(ticket.seq, now_s)
+        self.outbox.link(peer.route).count_ticket(ticket.seq, now_s)
         attempt = Attempt(ticket, peer.route)
         try:
             self._admit(ticket, now_s)
--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -172,7 +172,7 @@
             exchange.key,
             state.agent_s(now_s),
             reason,
-            state.link.ticket(attempt.attempt_id, now_s),
+            state.link.next_ticket_seq(attempt.attempt_id, now_s),
         )
 
     def _send(
--- a/mountridge/dispatch/links.py
+++ b/mountridge/dispatch/links.py
@@ -31,7 +31,7 @@
         #: Since when messages to it can't be sent; None if they can.
         self.blocked_since_s: float | None = None
 
-    def ticket(self, seq: int, now_s: float) -> None:
+    def count_ticket(self, seq: int, now_s: float) -> None:
         """Count a received ticket."""
         self.last_used_s = now_s
         self.ticket_seq = max(self.ticket_seq, seq)
@@ -55,13 +55,13 @@
         self._lost = 0
         self._unconfirmed: dict[int, tuple[str, float]] = {}
 
-    def ticket(self, attempt_id: str, now_s: float) -> int:
+    def next_ticket_seq(self, attempt_id: str, now_s: float) -> int:
         """Record a ticket as sent and return its sequence number."""
         self.ticket_seq += 1
         self._unconfirmed[self.ticket_seq] = (attempt_id, now_s)
         return self.ticket_seq
 
-    def report(
+    def apply_report(
         self, load: messages.Load, with_frames: bool, now_s: float
     ) -> Loss:
         """Apply the counts of a report and return the losses they show."""
--- a/mountridge/dispatch/runners.py
+++ b/mountridge/dispatch/runners.py
@@ -87,7 +87,7 @@
         state = self.states.get(load.name)
         if not state or state.member.incarnation != load.incarnation:
             return links.Loss(True, False, [])
-        loss = state.link.report(load, with_frames, now_s)
+        loss = state.link.apply_report(load, with_frames, now_s)
         if loss.old:
             return loss
         state.heard_s = now_s
