--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -274,7 +274,7 @@
         logger.info('runner asks for rest', rest_ms=rest_ms)
         for item in self.queue.expired(math.inf):
             self._refuse(item.attempt_id, self._resting(now_s))
-        self.outbox.tell_all()
+        self.outbox.report_to_all()
 
     def _finish(self, attempt: Attempt, outcome: str) -> None:
         ticket = attempt.ticket
@@ -384,7 +384,7 @@
         for value in self.held.view.under('member/').values():
             member = views.unpack_member(value)
             if member.kind == 'gateway':
-                self.outbox.lose_earlier(member.name, member.incarnation)
+                self.outbox.remove_earlier(member.name, member.incarnation)
 
     def _expire(self, attempt_id: str) -> None:
         priority = self.attempts[attempt_id].ticket.priority
@@ -424,10 +424,10 @@
         """Take nothing new, and wait for what runs and waits to end."""
         self.draining = True
         # Gateways hear it from here too, should the controllers be away.
-        self.outbox.tell_all()
+        self.outbox.report_to_all()
         logger.info('draining', attempts=len(self.attempts))
         with trio.move_on_after(self.settings['drain_s']):
-            while self.attempts or self.outbox.waiting:
+            while self.attempts or self.outbox.has_pending:
                 await trio.sleep(0.05)
             await trio.sleep(2 * self.settings['merge_s'])
             try:
--- a/mountridge/dispatch/outboxes.py
+++ b/mountridge/dispatch/outboxes.py
@@ -39,7 +39,7 @@
         self.links: dict[bytes, links.GatewayLink] = {}
 
     @property
-    def waiting(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether frames are pending."""
         return bool(self._pending)
 
@@ -55,7 +55,7 @@
         self._pending.setdefault(route, []).append(frame)
         self._wake.set()
 
-    def tell_all(self) -> None:
+    def report_to_all(self) -> None:
         """Send a load report to each known gateway immediately."""
         for route, link in self.links.items():
             self._app.send(route, self._load(link))
@@ -95,22 +95,22 @@
                 link.blocked_since_s is not None
                 and now_s - link.blocked_since_s > BLOCKED_TIMEOUT_S
             ):
-                self.lose(route)
+                self.remove(route)
             elif route in self._pending:
                 self._wake.set()
             elif now_s - link.last_used_s < REPORT_AFTER_USE_S:
                 self._app.send(route, self._load(link))
 
-    def lose(self, route: bytes) -> None:
+    def remove(self, route: bytes) -> None:
         """Remove a gateway that can't be reached, with its frames."""
         self._app.metrics.incr('gateway.lost')
         self._pending.pop(route, None)
         del self.links[route]
         self._on_lost(route)
 
-    def lose_earlier(self, name: str, incarnation: str) -> None:
+    def remove_earlier(self, name: str, incarnation: str) -> None:
         """Remove earlier incarnations of a gateway that has restarted."""
         for route in list(self.links):
             known_name, known_incarnation, _ = route.decode().rsplit('.', 2)
             if known_name == name and known_incarnation != incarnation:
-                self.lose(route)
+                self.remove(route)
