--- a/mountridge/dispatch/queues.py
+++ b/mountridge/dispatch/queues.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The queue before a runner: strict classes, fair shares, bounded by time.
+"""The wait queue of a runner: strict priorities, fair shares, timeouts.
 
-A lower priority number goes first. Within a priority, teams get slots by
-weight (start-time fair queueing over a virtual time). A request that can't
-start within its time in queue is refused at once, with the time after
-which it could have been taken.
+A lower priority number is served first. Within a priority, teams get slots
+in proportion to their weights, by start-time fair queueing over a virtual
+time. A request that is not expected to start before its time in the queue
+ends is refused at once, with the time after which to retry.
 """
 
 import heapq
@@ -15,12 +15,12 @@
 
 __all__ = ['Queue', 'Waiting']
 
-#: Weight of a new sample in the mean service time.
+#: Weight of a new sample in the moving average of the service time.
 SMOOTHING = 0.1
 
 
 class Waiting(typing.NamedTuple):
-    """One request in the queue."""
+    """A request in the queue."""
 
     attempt_id: str
     team: str
@@ -32,8 +32,8 @@
 class Queue:
     """Waiting and running requests of one runner with ``slots``.
 
-    ``reserved`` slots are kept free for priority 0. `mean_s` is the mean
-    time that a request keeps its slot.
+    ``reserved`` slots are reserved for priority 0. `mean_s` is the moving
+    average of the time that a request occupies its slot.
     """
 
     def __init__(self, slots: int, reserved: int, mean_s: float = 1.0):
@@ -41,44 +41,44 @@
         self.reserved = reserved
         self.mean_s = mean_s
         self.running: dict[str, tuple[int, float]] = {}
-        #: Waiting requests with their place in the virtual time.
+        #: Waiting requests with their start tags in virtual time.
         self._waiting: dict[str, tuple[Waiting, float]] = {}
         self._heaps: dict[int, list[tuple[float, int, str]]] = {}
-        self._finish: dict[tuple[int, str], float] = {}
-        self._virtual: dict[int, float] = {}
-        self._count = 0
+        self._finish_tags: dict[tuple[int, str], float] = {}
+        self._virtual_time: dict[int, float] = {}
+        self._push_count = 0
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def _start(self, priority: int, team: str) -> float:
-        """Return where a team's next request stands in its class."""
+    def _start_tag(self, priority: int, team: str) -> float:
+        """Return the virtual start time of a team's next request."""
         return max(
-            self._virtual.get(priority, 0.0),
-            self._finish.get((priority, team), 0.0),
+            self._virtual_time.get(priority, 0.0),
+            self._finish_tags.get((priority, team), 0.0),
         )
 
-    def _ahead(self, priority: int, start: float) -> int:
-        """Return how many waiting requests go before such a one."""
+    def _count_ahead(self, priority: int, start_tag: float) -> int:
+        """Return how many waiting requests are served before such a one."""
         return sum(
             1
-            for item, other in self._waiting.values()
+            for item, other_tag in self._waiting.values()
             if item.priority < priority
-            or (item.priority == priority and other <= start)
+            or (item.priority == priority and other_tag <= start_tag)
         )
 
-    def _free(self, priority: int) -> int:
-        kept = 0 if priority == 0 else self.reserved
-        return self.slots - kept - len(self.running)
+    def _free_slots(self, priority: int) -> int:
+        reserved = 0 if priority == 0 else self.reserved
+        return self.slots - reserved - len(self.running)
 
     def wait_s(self, priority: int, team: str = '') -> float:
-        """Return the time that a team's new request would likely wait.
+        """Return the time that a team's new request is expected to wait.
 
-        Only what goes before it counts: a team within its share does not
-        wait for another one's backlog.
+        Only requests ahead of it count: a team within its share does not
+        wait for the backlog of another team.
         """
-        ahead = self._ahead(priority, self._start(priority, team))
-        if self._free(priority) > 0 and not ahead:
+        ahead = self._count_ahead(priority, self._start_tag(priority, team))
+        if self._free_slots(priority) > 0 and not ahead:
             return 0.0
         usable = self.slots - (0 if priority == 0 else self.reserved)
         return (ahead + 1) * self.mean_s / usable
@@ -86,60 +86,64 @@
     def push(self, item: Waiting, now_s: float) -> None:
         """Put a request into the queue.
 
-        :raises Busy: it would wait past its time; with ``retry_after_s``.
+        :raises Busy: it is expected to expire before it starts; the error
+            has ``retry_after_s``.
         """
         wait_s = self.wait_s(item.priority, item.team)
         left_s = item.expires_s - now_s
         if wait_s > left_s or (left_s <= 0 and wait_s > 0):
             raise errors.Busy(
-                f'wait {wait_s:.1f} s, allowed {max(0, left_s):.1f} s',
+                f'expected wait of {wait_s:.1f} s exceeds the'
+                f' {max(0, left_s):.1f} s allowed in the queue',
                 retry_after_s=max(self.mean_s / self.slots, wait_s - left_s),
             )
-        start = self._start(item.priority, item.team)
-        self._finish[item.priority, item.team] = start + 1 / item.weight
-        self._count += 1
+        start_tag = self._start_tag(item.priority, item.team)
+        self._finish_tags[item.priority, item.team] = (
+            start_tag + 1 / item.weight
+        )
+        self._push_count += 1
         heap = self._heaps.setdefault(item.priority, [])
-        heapq.heappush(heap, (start, self._count, item.attempt_id))
-        self._waiting[item.attempt_id] = (item, start)
+        heapq.heappush(heap, (start_tag, self._push_count, item.attempt_id))
+        self._waiting[item.attempt_id] = (item, start_tag)
 
     def pop(self, now_s: float) -> Waiting | None:
-        """Start the next request that has a slot, or return None."""
+        """Move the next request to a free slot; return it, or None."""
         for priority in sorted(self._heaps):
-            if self._free(priority) <= 0:
+            if self._free_slots(priority) <= 0:
                 continue
             heap = self._heaps[priority]
             while heap:
-                start, _, attempt_id = heapq.heappop(heap)
+                start_tag, _, attempt_id = heapq.heappop(heap)
                 found = self._waiting.pop(attempt_id, None)
                 if found is None:
                     continue
                 item = found[0]
-                self._virtual[priority] = start
+                self._virtual_time[priority] = start_tag
                 self.running[attempt_id] = (priority, now_s)
                 return item
             self._reset(priority)
         return None
 
     def _reset(self, priority: int) -> None:
-        """Forget the shares of an idle class, so the maps stay small."""
+        """Drop the tags of an idle priority to bound the memory used."""
         del self._heaps[priority]
-        self._virtual.pop(priority, None)
-        for key in [k for k in self._finish if k[0] == priority]:
-            del self._finish[key]
+        self._virtual_time.pop(priority, None)
+        for key in [k for k in self._finish_tags if k[0] == priority]:
+            del self._finish_tags[key]
 
     def remove(self, attempt_id: str) -> bool:
-        """Take a waiting request out; false where it does not wait."""
+        """Remove a waiting request; return false if it is not waiting."""
         return self._waiting.pop(attempt_id, None) is not None
 
     def expired(self, now_s: float) -> list[Waiting]:
-        """Take out and return the requests whose time in queue is over."""
-        late = [w for w, _ in self._waiting.values() if w.expires_s <= now_s]
-        for item in late:
+        """Remove and return the requests that have expired."""
+        found = [w for w, _ in self._waiting.values() if w.expires_s <= now_s]
+        for item in found:
             del self._waiting[item.attempt_id]
-        return late
+        return found
 
     def done(self, attempt_id: str, now_s: float) -> None:
-        """Free the slot of a request that has ended."""
+        """Free the slot of an ended request and update the mean time."""
         found = self.running.pop(attempt_id, None)
         if found is not None:
             took_s = now_s - found[1]
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -303,7 +303,7 @@
     ),
     Mutant(
         'no slots kept for pings', 'queues',
-        'kept = 0 if priority == 0 else self.reserved', 'kept = 0',
+        'reserved = 0 if priority == 0 else self.reserved', 'reserved = 0',
         'rules',
     ),
     Mutant(
@@ -314,7 +314,7 @@
     ),
     Mutant(
         'one queue for all teams', 'queues',
-        'self._finish.get((priority, team), 0.0),', '0.0,',
+        'self._finish_tags.get((priority, team), 0.0),', '0.0,',
         'operations', 'large team',
     ),
     Mutant(
