--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -192,7 +192,7 @@
 
 
 def _push(queue, name, team='t', priority=2, weight=1.0, expires_s=1e6):
-    item = queues.Waiting(name, team, priority, weight, expires_s)
+    item = queues.QueuedRequest(name, team, priority, weight, expires_s)
     queue.push(item, 0.0)
 
 
@@ -230,7 +230,7 @@
     for _ in range(80):
         item = queue.pop(0.0)
         started.append(item.team)
-        queue.done(item.attempt_id, 1.0)
+        queue.release_slot(item.attempt_id, 1.0)
     assert 58 <= started.count('a') <= 62, started.count('a')
 
 
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -116,7 +116,7 @@
         wait_s = min(ticket.queue_s, ticket.deadline_s)
         try:
             self.queue.push(
-                queues.Waiting(
+                queues.QueuedRequest(
                     ticket.attempt_id,
                     ticket.team,
                     ticket.priority,
@@ -222,7 +222,7 @@
                 problem = errors.RunnerFailed('the deadline passed')
             except errors.MountridgeError as failed:
                 problem = failed
-        self.queue.done(ticket.attempt_id, self.app.now_s())
+        self.queue.release_slot(ticket.attempt_id, self.app.now_s())
         if is_trial:
             self.backoff_state.end_probe()
         if attempt.scope.cancelled_caught:
@@ -272,7 +272,7 @@
         self.app.metrics.incr('rest.asked')
         rest_ms = round((self.backoff_state.until_s - now_s) * 1000)
         logger.info('runner asks for rest', rest_ms=rest_ms)
-        for item in self.queue.expired(math.inf):
+        for item in self.queue.pop_expired(math.inf):
             self._refuse(item.attempt_id, self._resting(now_s))
         self.outbox.report_to_all()
 
@@ -369,7 +369,7 @@
         """Refuse what waited too long, and send load reports."""
         while True:
             await trio.sleep(self.settings['report_s'])
-            for item in self.queue.expired(self.app.now_s()):
+            for item in self.queue.pop_expired(self.app.now_s()):
                 self._expire(item.attempt_id)
             self.outbox.report()
 
@@ -388,7 +388,7 @@
 
     def _expire(self, attempt_id: str) -> None:
         priority = self.attempts[attempt_id].ticket.priority
-        wait_s = self.queue.wait_s(priority)
+        wait_s = self.queue.expected_wait_s(priority)
         self._refuse(attempt_id, errors.Busy('time in queue is over', wait_s))
 
     def _refuse(
--- a/mountridge/dispatch/queues.py
+++ b/mountridge/dispatch/queues.py
@@ -13,13 +13,13 @@
 
 from mountridge import errors
 
-__all__ = ['Queue', 'Waiting']
+__all__ = ['Queue', 'QueuedRequest']
 
 #: Weight of a new sample in the moving average of the service time.
 SMOOTHING = 0.1
 
 
-class Waiting(typing.NamedTuple):
+class QueuedRequest(typing.NamedTuple):
     """A request in the queue."""
 
     attempt_id: str
@@ -42,7 +42,7 @@
         self.mean_s = mean_s
         self.running: dict[str, tuple[int, float]] = {}
         #: Waiting requests with their start tags in virtual time.
-        self._waiting: dict[str, tuple[Waiting, float]] = {}
+        self._waiting: dict[str, tuple[QueuedRequest, float]] = {}
         self._heaps: dict[int, list[tuple[float, int, str]]] = {}
         self._finish_tags: dict[tuple[int, str], float] = {}
         self._virtual_time: dict[int, float] = {}
@@ -71,7 +71,7 @@
         reserved = 0 if priority == 0 else self.reserved
         return self.slots - reserved - len(self.running)
 
-    def wait_s(self, priority: int, team: str = '') -> float:
+    def expected_wait_s(self, priority: int, team: str = '') -> float:
         """Return the time that a team's new request is expected to wait.
 
         Only requests ahead of it count: a team within its share does not
@@ -83,13 +83,13 @@
         usable = self.slots - (0 if priority == 0 else self.reserved)
         return (ahead + 1) * self.mean_s / usable
 
-    def push(self, item: Waiting, now_s: float) -> None:
+    def push(self, item: QueuedRequest, now_s: float) -> None:
         """Put a request into the queue.
 
         :raises Busy: it is expected to expire before it starts; the error
             has ``retry_after_s``.
         """
-        wait_s = self.wait_s(item.priority, item.team)
+        wait_s = self.expected_wait_s(item.priority, item.team)
         left_s = item.expires_s - now_s
         if wait_s > left_s or (left_s <= 0 and wait_s > 0):
             raise errors.Busy(
@@ -106,7 +106,7 @@
         heapq.heappush(heap, (start_tag, self._push_count, item.attempt_id))
         self._waiting[item.attempt_id] = (item, start_tag)
 
-    def pop(self, now_s: float) -> Waiting | None:
+    def pop(self, now_s: float) -> QueuedRequest | None:
         """Move the next request to a free slot; return it, or None."""
         for priority in sorted(self._heaps):
             if self._free_slots(priority) <= 0:
@@ -135,14 +135,14 @@
         """Remove a waiting request; return false if it is not waiting."""
         return self._waiting.pop(attempt_id, None) is not None
 
-    def expired(self, now_s: float) -> list[Waiting]:
+    def pop_expired(self, now_s: float) -> list[QueuedRequest]:
         """Remove and return the requests that have expired."""
         found = [w for w, _ in self._waiting.values() if w.expires_s <= now_s]
         for item in found:
             del self._waiting[item.attempt_id]
         return found
 
-    def done(self, attempt_id: str, now_s: float) -> None:
+    def release_slot(self, attempt_id: str, now_s: float) -> None:
         """Free the slot of an ended request and update the mean time."""
         found = self.running.pop(attempt_id, None)
         if found is not None:
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -670,8 +670,8 @@
     ),
     Mutant(
         'rests: what waits at an agent waits on', 'agent',
-        'for item in self.queue.expired(math.inf):',
-        'for item in self.queue.expired(now_s):', 'rests', 'agent',
+        'for item in self.queue.pop_expired(math.inf):',
+        'for item in self.queue.pop_expired(now_s):', 'rests', 'agent',
     ),
     Mutant(
         'rests: an agent hears no word of leaving', 'agent',
