--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -285,7 +285,7 @@
         :raises MountridgeError: the final answer of a request given up.
         """
         exchange.streamed = not whole
-        self.budget.first_try(exchange.team)
+        self.budget.add_request(exchange.team)
         while True:
             exchange.attempts += 1
             try:
@@ -332,7 +332,7 @@
         if not again:
             raise problem
         free = retries.is_redirect(problem)
-        if not free and not self.budget.take(exchange.team):
+        if not free and not self.budget.spend(exchange.team):
             raise problem
         self.app.metrics.incr('retry')
         self.note(exchange, 'retry', f'after {problem}', problem.code)
--- a/mountridge/dispatch/retries.py
+++ b/mountridge/dispatch/retries.py
@@ -1,72 +1,75 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Retries: only what may be repeated, only by budget, off at overload."""
+"""Retry rules: which errors are retried, and the budget for retries."""
 
 from mountridge import errors
 
 __all__ = ['Budget', 'is_redirect', 'may_retry']
 
-#: Retries that are always in hand, so that a quiet team has some.
-FLOOR = 3.0
-CEILING = 50.0
-#: Least time left in which another try makes sense, in seconds.
-LEAST_LEFT_S = 0.2
+#: Retries that a team may spend before it has earned any.
+INITIAL_BALANCE = 3.0
+MAX_BALANCE = 50.0
+#: A request with less time left than this is not retried.
+MIN_TIME_LEFT_S = 0.2
 
 
 class Budget:
-    """Retries as a share of first tries, per team and in all."""
+    """Limits retries to a share of the requests, per team and overall.
+
+    The overall balance has the key ''.
+    """
 
     def __init__(self, share: float):
         self._share = share
-        self._left: dict[str, float] = {}
+        self._balances: dict[str, float] = {}
 
-    def first_try(self, team: str) -> None:
-        """Earn a part of a retry for the team, and for all together."""
+    def add_request(self, team: str) -> None:
+        """Credit the share for a new request to both balances."""
         for key in (team, ''):
-            left = self._left.get(key, FLOOR) + self._share
-            self._left[key] = min(CEILING, left)
+            balance = self._balances.get(key, INITIAL_BALANCE) + self._share
+            self._balances[key] = min(MAX_BALANCE, balance)
 
-    def take(self, team: str) -> bool:
-        """Spend one retry; false where the team or all have none left."""
+    def spend(self, team: str) -> bool:
+        """Spend one retry; return false if either balance is too low."""
         keys = (team, '')
-        if any(self._left.get(key, FLOOR) < 1 for key in keys):
+        if any(self._balances.get(key, INITIAL_BALANCE) < 1 for key in keys):
             return False
         for key in keys:
-            self._left[key] = self._left.get(key, FLOOR) - 1
+            self._balances[key] = self._balances.get(key, INITIAL_BALANCE) - 1
         return True
 
 
 def is_redirect(problem: errors.MountridgeError) -> bool:
-    """Return whether an agent only says that it is not the one to ask.
+    """Return whether an agent refused only to have another one selected.
 
-    That is no sign of load, and costs no retry of the budget; the number of
-    tries bounds it.
+    This is no sign of overload and is not charged to the budget; the number
+    of attempts limits it.
     """
-    elsewhere = (
+    redirects = (
         errors.Draining,
         errors.NoLease,
         errors.RunnersResting,
         errors.StaleIncarnation,
     )
-    return isinstance(problem, elsewhere)
+    return isinstance(problem, redirects)
 
 
 def may_retry(
     problem: errors.MountridgeError,
     repeatable: bool,
-    tries: int,
-    most_tries: int,
+    attempts: int,
+    max_attempts: int,
     left_s: float,
 ) -> bool:
-    """Return whether another try is allowed, the budget aside.
+    """Return whether another attempt is allowed, apart from the budget.
 
-    What certainly did not run may be tried again even where the call may
-    not be repeated. A busy runner is the sign of overload, and a second
-    busy answer ends the request.
+    A call that may not be repeated is retried only if it certainly did not
+    run. A busy runner is a sign of overload, so a second `Busy` ends the
+    request.
     """
-    if tries >= most_tries or left_s < LEAST_LEFT_S:
+    if attempts >= max_attempts or left_s < MIN_TIME_LEFT_S:
         return False
-    if isinstance(problem, errors.Busy) and tries >= 2:
+    if isinstance(problem, errors.Busy) and attempts >= 2:
         return False
     if isinstance(problem, (errors.BadRequest, errors.DeadlinePassed)):
         return False
