--- a/mountridge/dispatch/retries.py
+++ b/mountridge/dispatch/retries.py
@@ -40,7 +40,7 @@
 
 
 def is_redirect(problem: errors.MountridgeError) -> bool:
-    """Return whether an agent refused only to have another one selected.
+    """Return whether the error asks to send the request elsewhere.
 
     This is no sign of overload and is not charged to the budget; the number
     of attempts limits it.
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -332,7 +332,8 @@
     ),
     Mutant(
         'retries with no budget', 'retries',
-        'if any(self._balances.get(key, INITIAL_BALANCE) < 1 for key in keys):',
+        'if any(self._balances.get(key, INITIAL_BALANCE) < 1 '
+        'for key in keys):',
         'if False:', 'operations', 'Retries',
     ),
     Mutant(
