--- a/mountridge/dispatch/runners.py
+++ b/mountridge/dispatch/runners.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a gateway knows of each runner: reports, own work, health."""
+"""The runners known to a gateway: load reports, own requests and health."""
 
 import typing
 
@@ -10,46 +10,51 @@
 
 __all__ = ['Runners', 'RunnerState']
 
+#: Weight of a new sample in the moving average of the time to first data.
 SMOOTHING = 0.2
-#: Failures in a row after which a runner is left out for a while.
-FAILURES = 3
+#: Consecutive failures after which a runner is ejected.
+MAX_FAILURES = 3
+#: Duration of the first ejection; it doubles with each further one.
 EJECT_S = 2.0
 MAX_EJECT_S = 30.0
 AVOID_S = 1.0
-#: A runner this many times slower than its peers is left out.
-SLOW = 4.0
-#: At most this part of the runners of a service is left out at once.
+#: A runner this many times slower than its peers is ejected.
+MAX_SLOWNESS = 4.0
+#: At most this fraction of the runners of a service is ejected at once.
 MAX_EJECTED = 0.5
-#: No message for this long from an agent with own work: it is silent.
-SILENT_S = 1.5
+#: An agent with own requests that reports nothing for this long is
+#: unresponsive.
+UNRESPONSIVE_S = 1.5
 
 
 class RunnerState:
-    """One runner behind its agent, as this gateway sees it."""
+    """The state of one runner behind its agent, as known to this gateway."""
 
     def __init__(self, member: views.Member, now_s: float):
         self.member = member
-        self.first_s = now_s
+        self.first_seen_s = now_s
         self.load: messages.Load | None = None
-        self.heard_s = now_s
-        self.reported_s = -1e9
-        self.own = 0
-        self.own_since = 0
-        self.failures = 0
+        #: The last report, or the first own request sent since none were
+        #: in flight.
+        self.waiting_since_s = now_s
+        self.load_received_s = -1e9
+        self.own = 0  # own requests in flight
+        self.own_since = 0  # own requests started less ended since `load`
+        self.failures = 0  # consecutive
         self.ejections = 0
         self.ejected_until_s = 0.0
         self.link = links.AgentLink()
-        self.first_data_s = 0.0  # mean time to first data
+        self.first_data_s = 0.0  # mean time to first data, 0 if unknown
 
     def agent_s(self, now_s: float) -> float:
-        """Return the agent's clock now, as far as its reports tell."""
+        """Return the agent's clock, extrapolated from its last report."""
         if self.load is None:
             return 0.0
-        return self.load.at_s + now_s - self.reported_s
+        return self.load.at_s + now_s - self.load_received_s
 
 
 class Runners:
-    """All runners that the view names, by the name of their agent."""
+    """All runners in the view by the name of their agent."""
 
     def __init__(self) -> None:
         self.states: dict[str, RunnerState] = {}
@@ -57,10 +62,11 @@
     def update(
         self, members: typing.Iterable[views.Member], now_s: float
     ) -> list[str]:
-        """Follow the view; return the agents that have restarted.
+        """Apply the members of the view; return the restarted agents.
 
-        An agent that is gone from the view may only be cut off from the
-        controllers: what it runs for us goes on, and it gets nothing new.
+        An agent that is missing from the view may only be disconnected from
+        the controllers: its requests in flight continue, but it gets no new
+        ones.
         """
         live = {m.name: m for m in members if m.kind == 'agent'}
         restarted = []
@@ -83,24 +89,24 @@
     def heard(
         self, load: messages.Load, with_frames: bool, now_s: float
     ) -> links.Loss:
-        """Take a load report and return what it shows to be lost."""
+        """Record a load report and return the losses that it shows."""
         state = self.states.get(load.name)
         if not state or state.member.incarnation != load.incarnation:
             return links.Loss(True, False, [])
         loss = state.link.apply_report(load, with_frames, now_s)
         if loss.old:
             return loss
-        state.heard_s = now_s
-        state.reported_s = now_s
+        state.waiting_since_s = now_s
+        state.load_received_s = now_s
         state.load = load
         state.own_since = 0
         return loss
 
     def sent(self, name: str, now_s: float) -> None:
-        """Count an own request on its way to a runner."""
+        """Count an own request sent to a runner."""
         state = self.states[name]
         if state.own == 0:
-            state.heard_s = now_s
+            state.waiting_since_s = now_s
         state.own += 1
         state.own_since += 1
 
@@ -115,7 +121,7 @@
             del self.states[name]
 
     def first_data(self, name: str, took_s: float) -> None:
-        """Take the time to first data of a request; the runner is well."""
+        """Record the time to first data of a request and reset failures."""
         state = self.states.get(name)
         if not state:
             return
@@ -126,9 +132,10 @@
         state.first_data_s += SMOOTHING * (took_s - state.first_data_s)
 
     def avoid(self, name: str, now_s: float) -> None:
-        """Leave out for a moment a runner whose agent says "not here".
+        """Eject a runner for `AVOID_S` after its agent refused a request.
 
-        It is idle, and would else draw every request.
+        A runner that refuses is idle, and its low occupancy would otherwise
+        attract each request.
         """
         state = self.states.get(name)
         if state:
@@ -136,34 +143,35 @@
             state.ejected_until_s = until_s
 
     def failed(self, name: str, now_s: float) -> None:
-        """Count a failure; leave the runner out after some in a row.
+        """Count a failure; eject the runner after `MAX_FAILURES` in a row.
 
-        Each time it is left out for longer; then requests probe it again.
+        Each ejection lasts longer, and after it the next requests probe the
+        runner: a single failure ejects it again.
         """
         state = self.states.get(name)
         if not state:
             return
         state.failures += 1
-        if state.failures < FAILURES:
+        if state.failures < MAX_FAILURES:
             return
-        state.failures = FAILURES - 1
+        state.failures = MAX_FAILURES - 1
         state.ejections += 1
-        span_s = min(MAX_EJECT_S, EJECT_S * 2 ** (state.ejections - 1))
-        state.ejected_until_s = now_s + span_s
+        ejected_s = min(MAX_EJECT_S, EJECT_S * 2 ** (state.ejections - 1))
+        state.ejected_until_s = now_s + ejected_s
 
     def silent(self, now_s: float) -> list[str]:
-        """Return agents that have own work but have not been heard."""
+        """Return agents with own requests but without recent reports."""
         return [
             name
             for name, state in self.states.items()
-            if state.own > 0 and now_s - state.heard_s > SILENT_S
+            if state.own > 0 and now_s - state.waiting_since_s > UNRESPONSIVE_S
         ]
 
     def candidates(
         self, service: str, groups: set[str], now_s: float
     ) -> list[placing.Candidate]:
         """Return the runners that may serve ``service`` now."""
-        fit = [
+        eligible = [
             state
             for state in self.states.values()
             if service in state.member.services
@@ -171,38 +179,43 @@
             and ('*' in groups or state.member.expert_group in groups)
             and not (state.load and state.load.draining)
         ]
-        timed = sorted(s.first_data_s for s in fit if s.first_data_s > 0)
-        usual_s = timed[len(timed) // 2] if timed else 0.0
-        listed = [_candidate(state, usual_s, now_s) for state in fit]
+        timed = sorted(s.first_data_s for s in eligible if s.first_data_s > 0)
+        median_s = timed[len(timed) // 2] if timed else 0.0
+        listed = [_candidate(state, median_s, now_s) for state in eligible]
         return _cap_ejected(listed)
 
 
 def _candidate(
-    state: RunnerState, usual_s: float, now_s: float
+    state: RunnerState, median_s: float, now_s: float
 ) -> placing.Candidate:
     load = state.load
     slowness = 1.0
-    if usual_s > 0 and state.first_data_s > 0:
-        slowness = state.first_data_s / usual_s
+    if median_s > 0 and state.first_data_s > 0:
+        slowness = state.first_data_s / median_s
     return placing.Candidate(
         state.member.name,
         state.member.hall,
         max(1, state.member.slots),
         load.running + load.waiting if load else 0,
-        now_s - state.reported_s,
+        now_s - state.load_received_s,
         state.own_since,
         state.own,
         slowness,
-        now_s < state.ejected_until_s or slowness > SLOW,
-        now_s - state.first_s,
+        now_s < state.ejected_until_s or slowness > MAX_SLOWNESS,
+        now_s - state.first_seen_s,
     )
 
 
 def _cap_ejected(
     listed: list[placing.Candidate],
 ) -> list[placing.Candidate]:
-    """Keep the least slow of the ejected ones in, past the cap."""
-    most = int(len(listed) * MAX_EJECTED)
-    out = sorted((c for c in listed if c.ejected), key=lambda c: -c.slowness)
-    back = {c.name for c in out[most:]}
-    return [c._replace(ejected=False) if c.name in back else c for c in listed]
+    """Readmit the least slow ejected runners above `MAX_EJECTED`."""
+    max_ejected = int(len(listed) * MAX_EJECTED)
+    ejected = sorted(
+        (c for c in listed if c.ejected), key=lambda c: -c.slowness
+    )
+    readmitted = {c.name for c in ejected[max_ejected:]}
+    return [
+        c._replace(ejected=False) if c.name in readmitted else c
+        for c in listed
+    ]
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -338,7 +338,7 @@
     ),
     Mutant(
         'no ejection', 'runners',
-        'now_s < state.ejected_until_s or slowness > SLOW', 'False',
+        'now_s < state.ejected_until_s or slowness > MAX_SLOWNESS', 'False',
         'rules',
     ),
     Mutant(
