--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -410,15 +410,15 @@
 def ejected(context):
     known = context.known
     for _ in range(2):
-        known.failed('a0', 100.0)
+        known.record_failure('a0', 100.0)
     assert _out(known, 100.0) == set()
-    known.failed('a0', 100.0)
+    known.record_failure('a0', 100.0)
     assert _out(known, 101.9) == {'a0'}
     assert _out(known, 102.1) == set(), 'it is not probed'
-    known.failed('a0', 103.0)
+    known.record_failure('a0', 103.0)
     assert _out(known, 106.9) == {'a0'} and _out(known, 107.1) == set()
-    known.first_data('a0', 0.1)
-    known.failed('a0', 108.0)
+    known.record_first_data('a0', 0.1)
+    known.record_failure('a0', 108.0)
     assert _out(known, 108.1) == set()
 
 
@@ -426,7 +426,7 @@
 def capped(context, count, most):
     for number in range(count):
         for _ in range(3):
-            context.known.failed(f'a{number}', 200.0)
+            context.known.record_failure(f'a{number}', 200.0)
     assert len(_out(context.known, 200.1)) == most
 
 
--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -63,7 +63,7 @@
 
     def _heard(self, load: messages.Load, with_frames: bool) -> bool:
         """Take a report; false where it is old, so its frames are too."""
-        loss = self.runners.heard(load, with_frames, self.app.now_s())
+        loss = self.runners.record_load(load, with_frames, self.app.now_s())
         if loss.frames:
             self.app.metrics.incr('frames.lost')
             self.attempts.fail_agent(load.name, 'frames were lost')
@@ -92,9 +92,9 @@
         while True:
             await trio.sleep(WATCH_S)
             now_s = self.app.now_s()
-            for name in self.runners.silent(now_s):
+            for name in self.runners.unresponsive(now_s):
                 self.app.metrics.incr('agent.silent')
-                self.runners.failed(name, now_s)
+                self.runners.record_failure(name, now_s)
                 self.attempts.fail_agent(name, 'silent')
 
     def _caller(self, name: str) -> sockets.Caller:
@@ -170,7 +170,7 @@
             row.queue_s,
             exchange.time_left_s(now_s),
             exchange.key,
-            state.agent_s(now_s),
+            state.agent_clock_s(now_s),
             reason,
             state.link.next_ticket_seq(attempt.attempt_id, now_s),
         )
@@ -186,7 +186,7 @@
         if not self._caller(choice.name).send(ticket):
             self.attempts.remove(attempt)
             raise errors.NoRunner(f'{choice.name} takes no messages')
-        self.runners.sent(choice.name, self.app.now_s())
+        self.runners.record_sent(choice.name, self.app.now_s())
 
     def note(
         self,
@@ -248,23 +248,23 @@
             if retries.is_redirect(problem):
                 self.runners.avoid(name, self.app.now_s())
             elif not isinstance(problem, errors.Busy):
-                self.runners.failed(name, self.app.now_s())
+                self.runners.record_failure(name, self.app.now_s())
             raise
         except BaseException:
             self._close(attempt, cancel=True)
             raise
         if scope.cancelled_caught:
             self._close(attempt, cancel=True)
-            self.runners.failed(name, self.app.now_s())
+            self.runners.record_failure(name, self.app.now_s())
             raise errors.OutcomeUnknown(f'no data from {name} in time')
         took_s = self.app.now_s() - sent_s
         self.app.metrics.timing('first_data', took_s)
-        self.runners.first_data(name, took_s)
+        self.runners.record_first_data(name, took_s)
         return data
 
     def _close(self, attempt: attempts.Attempt, cancel: bool) -> None:
         self.attempts.remove(attempt)
-        self.runners.ended(attempt.agent)
+        self.runners.record_ended(attempt.agent)
         found = self._callers.get(attempt.agent)
         if cancel and found:
             found[1].send(messages.Cancel(attempt.attempt_id))
@@ -303,7 +303,7 @@
         """
         with trio.move_on_after(self.settings['stall_s']):
             return await attempt.read()
-        self.runners.failed(attempt.agent, self.app.now_s())
+        self.runners.record_failure(attempt.agent, self.app.now_s())
         raise errors.BadAnswer(f'no data from {attempt.agent} in time')
 
     async def _rest(self, attempt: attempts.Attempt) -> bytes:
@@ -314,7 +314,7 @@
         except BaseException as problem:
             self.finish(attempt)
             if isinstance(problem, errors.MountridgeError):
-                self.runners.failed(attempt.agent, self.app.now_s())
+                self.runners.record_failure(attempt.agent, self.app.now_s())
             raise
         return b''.join(parts)
 
@@ -395,7 +395,7 @@
         except errors.MountridgeError:
             self.attempts.remove(joined)
             raise
-        self.runners.sent(reply.agent, self.app.now_s())
+        self.runners.record_sent(reply.agent, self.app.now_s())
         return joined
 
     async def _release(
--- a/mountridge/dispatch/runners.py
+++ b/mountridge/dispatch/runners.py
@@ -46,7 +46,7 @@
         self.link = links.AgentLink()
         self.first_data_s = 0.0  # mean time to first data, 0 if unknown
 
-    def agent_s(self, now_s: float) -> float:
+    def agent_clock_s(self, now_s: float) -> float:
         """Return the agent's clock, extrapolated from its last report."""
         if self.load is None:
             return 0.0
@@ -86,7 +86,7 @@
                 self.states[name] = RunnerState(member, now_s)
         return restarted
 
-    def heard(
+    def record_load(
         self, load: messages.Load, with_frames: bool, now_s: float
     ) -> links.Loss:
         """Record a load report and return the losses that it shows."""
@@ -102,7 +102,7 @@
         state.own_since = 0
         return loss
 
-    def sent(self, name: str, now_s: float) -> None:
+    def record_sent(self, name: str, now_s: float) -> None:
         """Count an own request sent to a runner."""
         state = self.states[name]
         if state.own == 0:
@@ -110,7 +110,7 @@
         state.own += 1
         state.own_since += 1
 
-    def ended(self, name: str) -> None:
+    def record_ended(self, name: str) -> None:
         """Count an own request as ended."""
         state = self.states.get(name)
         if state is None:
@@ -120,7 +120,7 @@
         if state.own == 0 and state.member.state == 'gone':
             del self.states[name]
 
-    def first_data(self, name: str, took_s: float) -> None:
+    def record_first_data(self, name: str, took_s: float) -> None:
         """Record the time to first data of a request and reset failures."""
         state = self.states.get(name)
         if not state:
@@ -142,7 +142,7 @@
             until_s = max(state.ejected_until_s, now_s + AVOID_S)
             state.ejected_until_s = until_s
 
-    def failed(self, name: str, now_s: float) -> None:
+    def record_failure(self, name: str, now_s: float) -> None:
         """Count a failure; eject the runner after `MAX_FAILURES` in a row.
 
         Each ejection lasts longer, and after it the next requests probe the
@@ -159,7 +159,7 @@
         ejected_s = min(MAX_EJECT_S, EJECT_S * 2 ** (state.ejections - 1))
         state.ejected_until_s = now_s + ejected_s
 
-    def silent(self, now_s: float) -> list[str]:
+    def unresponsive(self, now_s: float) -> list[str]:
         """Return agents with own requests but without recent reports."""
         return [
             name
