--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -189,7 +189,7 @@
     ),
     Mutant(
         'a ticket of any age', 'tickets',
-        'if now_s - ticket.agent_s > STALE_S:', 'if False:', 'rules',
+        'if now_s - ticket.agent_s > MAX_AGE_S:', 'if False:', 'rules',
     ),
     Mutant(
         'a revocation that bars nothing', 'tickets',
