--- a/mountridge/dispatch/upstreams.py
+++ b/mountridge/dispatch/upstreams.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The agent's way to its one runner, over the connections of `lasthop`.
+"""HTTP requests from the agent to its runner, over `lasthop` connections.
 
-httpx costs more than all else in the agent does for a token; the figures
-are in docs/MEASUREMENTS.md. h11 is the parser that it uses inside.
+httpx is not used here, since it takes more CPU time per token than the rest
+of the agent; see docs/MEASUREMENTS.md.
 """
 
 import contextlib
@@ -14,41 +14,41 @@
 
 __all__ = ['Response', 'Upstream']
 
-#: The runner is on the agent's own box or next to it.
-CONNECT_S = 2.0
+#: Short, since the runner is on the agent's own box or next to it.
+CONNECT_TIMEOUT_S = 2.0
 
 
 class Response:
-    """The runner's answer: its head, and its body in pieces."""
+    """The runner's response: its head, and its body as a stream."""
 
     def __init__(self, reply: lasthop.Reply):
         self._reply = reply
         self.head = reply.head
 
     def pieces(self) -> typing.AsyncIterator[bytes]:
-        """Yield the body; returns only at its explicit end.
+        """Yield the body in pieces, up to its explicit end.
 
-        :raises BadAnswer: it was cut before its end.
+        :raises BadAnswer: the body was cut off before its end.
         """
         return self._reply.pieces()
 
 
 class Upstream:
-    """The way to one runner at ``http://HOST:PORT``."""
+    """A client of the runner at ``http://HOST:PORT``."""
 
     def __init__(self, url: str):
         self._address = url.removeprefix('http://').rstrip('/')
         names = dialects.NATIVE.headers
-        self._pool = lasthop.Pool(names, clocks.now_s, CONNECT_S)
+        self._pool = lasthop.Pool(names, clocks.now_s, CONNECT_TIMEOUT_S)
 
     @contextlib.asynccontextmanager
     async def request(
         self, path: str, headers: list[tuple[str, str]], body: bytes
     ) -> typing.AsyncIterator[Response]:
-        """Post ``body`` and give the answer once its head has come.
+        """Post ``body`` and yield the response once its head is received.
 
         :raises NoRunner: no connection could be made; nothing was sent.
-        :raises OutcomeUnknown: the connection broke before the answer.
+        :raises OutcomeUnknown: the connection broke before the response.
         """
         fields = [
             ('host', self._address),
