--- a/mountridge/dispatch/__init__.py
+++ b/mountridge/dispatch/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A request by the table, from a gateway over agents to a runner."""
+"""Dispatch of requests by the table, from gateways over agents to runners."""
