--- a/mountridge/dispatch/attempts.py
+++ b/mountridge/dispatch/attempts.py
@@ -108,7 +108,7 @@
                 if frame.position > attempt.position:
                     attempt.fail(errors.BadAnswer('a frame was lost'))
 
-    def fail_some(self, attempt_ids: list[str], reason: str) -> None:
+    def fail_lost(self, attempt_ids: list[str], reason: str) -> None:
         """Fail attempts whose tickets may be lost, unless data has arrived."""
         for attempt_id in attempt_ids:
             attempt = self.open.get(attempt_id)
--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Dispatch: place a request, send its ticket, retry, claim, attach."""
+"""Dispatch of requests to agents: placement, tickets, retries and claims."""
 
 import collections
 import random
@@ -18,28 +18,29 @@
 
 __all__ = ['Dispatcher']
 
-#: Prefixes whose runner is remembered.
-PREFIXES = 4096
-WATCH_S = 0.25
-GREET_S = 0.5
-CLAIM_S = 3.0
-REVOKE_S = 1.0
+#: Number of prefixes for which the last runner is kept.
+MAX_PREFIXES = 4096
+MONITOR_INTERVAL_S = 0.25
+GREET_TIMEOUT_S = 0.5
+CLAIM_TIMEOUT_S = 3.0
+#: Timeout of `Attach` and `Revoke` calls to an agent.
+REVOKE_TIMEOUT_S = 1.0
 FIRST_DATA_SLACK_S = 1.0
 RETRY_AFTER_S = 1.0
 
 
 class Dispatcher:
-    """The gateway's way to the agents, and what it remembers of them."""
+    """The gateway's connections to agents, and its requests to them."""
 
     def __init__(
         self,
         app: application.Application,
-        held: leases.HeldLease,
+        lease: leases.HeldLease,
         leader: members.Leader,
         log: decisions.DecisionLog,
     ):
         self.app = app
-        self.held = held
+        self.lease = lease
         self.leader = leader
         self.log = log
         self.settings = app.settings['gateway']
@@ -47,82 +48,94 @@
         self.attempts = attempts.Attempts(app.metrics.incr)
         self.budget = retries.Budget(self.settings['retry_share'])
         self.rng = random.Random(app.incarnation)
-        self._callers: dict[str, tuple[str, sockets.Caller]] = {}
+        self._connections: dict[str, tuple[str, sockets.Caller]] = {}
         self._prefixes: collections.OrderedDict[str, str] = (
             collections.OrderedDict()
         )
 
-    # What comes from agents.
+    # Messages from agents.
 
     def _on_message(self, message) -> None:
         if isinstance(message, messages.Frames):
-            if self._heard(message.load, True):
+            if self._record_load(message.load, True):
                 self.attempts.take(message.frames)
         elif isinstance(message, messages.Load):
-            self._heard(message, False)
+            self._record_load(message, False)
 
-    def _heard(self, load: messages.Load, with_frames: bool) -> bool:
-        """Take a report; false where it is old, so its frames are too."""
+    def _record_load(self, load: messages.Load, with_frames: bool) -> bool:
+        """Record a load report and fail the attempts that it shows lost.
+
+        Returns false if the report is outdated; so are its frames then.
+        """
         loss = self.runners.record_load(load, with_frames, self.app.now_s())
         if loss.frames:
             self.app.metrics.incr('frames.lost')
             self.attempts.fail_agent(load.name, 'frames were lost')
         if loss.tickets:
             self.app.metrics.incr('tickets.lost', len(loss.tickets))
-            self.attempts.fail_some(loss.tickets, 'the ticket was lost')
+            self.attempts.fail_lost(loss.tickets, 'the ticket may be lost')
         return not loss.old
 
     def follow_view(self, listed) -> None:
-        """Follow the members in the view."""
+        """Apply the members of the view; disconnect from those removed."""
         for name in self.runners.update(listed, self.app.now_s()):
             self.attempts.fail_agent(name, 'restarted')
-            self._hang_up(name)
-        for name in list(self._callers):
+            self._disconnect(name)
+        for name in list(self._connections):
             if name not in self.runners.states:
-                self._hang_up(name)
+                self._disconnect(name)
 
-    def _hang_up(self, name: str) -> None:
-        """Close the connection to an agent, where there is one."""
-        found = self._callers.pop(name, None)
+    def _disconnect(self, name: str) -> None:
+        """Close the connection to an agent, if there is one."""
+        found = self._connections.pop(name, None)
         if found:
             found[1].close()
 
     async def watch(self) -> None:
-        """Give up on agents that have work of ours and say nothing."""
+        """Fail the attempts at agents that are unresponsive, in a loop."""
         while True:
-            await trio.sleep(WATCH_S)
+            await trio.sleep(MONITOR_INTERVAL_S)
             now_s = self.app.now_s()
             for name in self.runners.unresponsive(now_s):
                 self.app.metrics.incr('agent.silent')
                 self.runners.record_failure(name, now_s)
-                self.attempts.fail_agent(name, 'silent')
+                self.attempts.fail_agent(name, 'unresponsive')
 
-    def _caller(self, name: str) -> sockets.Caller:
+    def _connection(self, name: str) -> sockets.Caller:
+        """Return the connection to an agent, opening it if necessary."""
         member = self.runners.states[name].member
-        found = self._callers.get(name)
+        found = self._connections.get(name)
         if found is None or found[0] != member.address:
             if found:
                 found[1].close()
-            caller = self.app.connect(member.address, name, self._on_message)
-            found = (member.address, caller)
-            self._callers[name] = found
+            connection = self.app.connect(
+                member.address, name, self._on_message
+            )
+            found = (member.address, connection)
+            self._connections[name] = found
         return found[1]
 
-    async def _known(self, name: str) -> None:
-        """Hear from an agent once before the first ticket to it.
+    async def _ensure_load(self, name: str) -> None:
+        """Request a load report before the first ticket to an agent.
 
-        The ticket carries the agent's own clock, so that the agent can
-        refuse one that was on its way for too long.
+        A ticket carries the agent's own clock, known from its reports, so
+        that the agent can refuse a ticket that was delayed for too long.
         """
         state = self.runners.states[name]
         if state.load is not None:
             return
-        load = await self._caller(name).call(messages.Greet(), GREET_S)
-        self._heard(load, False)
+        load = await self._connection(name).call(
+            messages.Greet(), GREET_TIMEOUT_S
+        )
+        self._record_load(load, False)
 
     # One attempt.
 
-    def _place(self, exchange: exchanges.Exchange) -> placing.Choice:
+    def _select_runner(self, exchange: exchanges.Exchange) -> placing.Choice:
+        """Select a runner, preferably one that was not attempted before.
+
+        :raises NoRunner: no runner may serve the request.
+        """
         now_s = self.app.now_s()
         candidates = self.runners.candidates(
             exchange.service, exchange.groups, now_s
@@ -138,20 +151,21 @@
         )
         if choice is None:
             raise errors.NoRunner(
-                f'no live runner for {exchange.service!r}',
+                f'no live runner for service {exchange.service!r}',
                 retry_after_s=RETRY_AFTER_S,
             )
         exchange.attempted_agents.add(choice.name)
-        self._remember(exchange.prefix, choice.name)
+        self._cache_prefix(exchange.prefix, choice.name)
         return choice
 
-    def _remember(self, prefix: str, name: str) -> None:
+    def _cache_prefix(self, prefix: str, name: str) -> None:
+        """Record the runner of a prefix, evicting the oldest prefix."""
         self._prefixes[prefix] = name
         self._prefixes.move_to_end(prefix)
-        if len(self._prefixes) > PREFIXES:
+        if len(self._prefixes) > MAX_PREFIXES:
             self._prefixes.popitem(last=False)
 
-    def _ticket(
+    def _make_ticket(
         self, exchange: exchanges.Exchange, name: str, reason: str, attempt
     ) -> messages.Ticket:
         now_s = self.app.now_s()
@@ -175,17 +189,21 @@
             state.link.next_ticket_seq(attempt.attempt_id, now_s),
         )
 
-    def _send(
+    def _send_ticket(
         self, exchange: exchanges.Exchange, choice: placing.Choice, attempt
     ) -> None:
         if choice.name not in self.runners.states:
-            # It left the view while its claim was awaited.
-            raise errors.NoRunner(f'{choice.name} is gone')
-        ticket = self._ticket(exchange, choice.name, choice.reason, attempt)
+            # It left the view during the call that claimed the key.
+            raise errors.NoRunner(f'{choice.name} is no longer a member')
+        ticket = self._make_ticket(
+            exchange, choice.name, choice.reason, attempt
+        )
         self.attempts.add(attempt)
-        if not self._caller(choice.name).send(ticket):
+        if not self._connection(choice.name).send(ticket):
             self.attempts.remove(attempt)
-            raise errors.NoRunner(f'{choice.name} takes no messages')
+            raise errors.NoRunner(
+                f'the connection to {choice.name} accepts no messages'
+            )
         self.runners.record_sent(choice.name, self.app.now_s())
 
     def note(
@@ -195,7 +213,7 @@
         reason: str,
         code: int = 0,
     ) -> None:
-        """Record a decision about this request."""
+        """Record a decision about a request."""
         row = exchange.row
         self.log.add(
             exchange.request_id,
@@ -208,26 +226,26 @@
             code=code,
         )
 
-    async def _try(
+    async def _run_attempt(
         self, exchange: exchanges.Exchange
     ) -> tuple[attempts.Attempt, bytes]:
         """Run one attempt up to its first data."""
-        choice = self._place(exchange)
-        await self._known(choice.name)
+        choice = self._select_runner(exchange)
+        await self._ensure_load(choice.name)
         attempt = attempts.Attempt(utils.fresh_id(), choice.name)
         if exchange.key:
             claimed = await self._claim(exchange, choice, attempt)
             if claimed is not None:
-                return claimed, await self._first(exchange, claimed)
+                return claimed, await self._read_first(exchange, claimed)
         self.note(exchange, 'place', choice.reason)
-        self._send(exchange, choice, attempt)
-        return attempt, await self._first(exchange, attempt)
+        self._send_ticket(exchange, choice, attempt)
+        return attempt, await self._read_first(exchange, attempt)
 
-    def _patience_s(self, exchange: exchanges.Exchange) -> float:
-        """Return how long the first data of an attempt may take.
+    def _first_data_timeout_s(self, exchange: exchanges.Exchange) -> float:
+        """Return how long to wait for the first data of an attempt.
 
-        An answer that is not streamed comes all at its end, so only its
-        deadline bounds it.
+        An answer that is not streamed arrives all at once when it is
+        complete, so only the deadline limits the wait.
         """
         left_s = max(0.0, exchange.time_left_s(self.app.now_s()))
         if exchange.streamed:
@@ -235,78 +253,90 @@
             left_s = min(left_s, stall_s)
         return left_s + FIRST_DATA_SLACK_S
 
-    async def _first(
+    async def _read_first(
         self, exchange: exchanges.Exchange, attempt: attempts.Attempt
     ) -> bytes:
+        """Return the first data of an attempt; close it on any failure."""
         sent_s = self.app.now_s()
         name = attempt.agent
         try:
-            with trio.move_on_after(self._patience_s(exchange)) as scope:
+            with trio.move_on_after(
+                self._first_data_timeout_s(exchange)
+            ) as scope:
                 data = await attempt.read()
         except errors.MountridgeError as problem:
-            self._close(attempt, cancel=problem.outcome == errors.UNKNOWN)
+            self._close_attempt(
+                attempt, cancel=problem.outcome == errors.UNKNOWN
+            )
             if retries.is_redirect(problem):
                 self.runners.avoid(name, self.app.now_s())
             elif not isinstance(problem, errors.Busy):
                 self.runners.record_failure(name, self.app.now_s())
             raise
         except BaseException:
-            self._close(attempt, cancel=True)
+            self._close_attempt(attempt, cancel=True)
             raise
         if scope.cancelled_caught:
-            self._close(attempt, cancel=True)
+            self._close_attempt(attempt, cancel=True)
             self.runners.record_failure(name, self.app.now_s())
-            raise errors.OutcomeUnknown(f'no data from {name} in time')
+            raise errors.OutcomeUnknown(
+                f'timed out waiting for the first data from {name}'
+            )
         took_s = self.app.now_s() - sent_s
         self.app.metrics.timing('first_data', took_s)
         self.runners.record_first_data(name, took_s)
         return data
 
-    def _close(self, attempt: attempts.Attempt, cancel: bool) -> None:
+    def _close_attempt(self, attempt: attempts.Attempt, cancel: bool) -> None:
+        """Remove an attempt; if ``cancel``, tell its agent to stop it."""
         self.attempts.remove(attempt)
         self.runners.record_ended(attempt.agent)
-        found = self._callers.get(attempt.agent)
+        found = self._connections.get(attempt.agent)
         if cancel and found:
             found[1].send(messages.Cancel(attempt.attempt_id))
 
     def finish(self, attempt: attempts.Attempt) -> None:
-        """End an attempt, stopping the runner's work where it goes on."""
-        whole = attempt.ended and not attempt.problem
-        self._close(attempt, cancel=not whole)
+        """Close an attempt, and cancel it unless its answer is complete."""
+        complete = attempt.ended and not attempt.problem
+        self._close_attempt(attempt, cancel=not complete)
 
     async def run(
-        self, exchange: exchanges.Exchange, whole: bool = False
+        self, exchange: exchanges.Exchange, buffered: bool = False
     ) -> tuple[attempts.Attempt, bytes]:
         """Return the attempt whose answer has begun, and its first data.
 
-        Where ``whole``, all of the answer is awaited: as long as nothing
-        has gone to the caller, an answer that is cut can be tried again.
+        If ``buffered``, the data is the complete answer. An answer that is
+        cut off can then be retried, since none of it has been sent to the
+        caller.
 
-        :raises MountridgeError: the final answer of a request given up.
+        :raises MountridgeError: the error of the last attempt.
         """
-        exchange.streamed = not whole
+        exchange.streamed = not buffered
         self.budget.add_request(exchange.team)
         while True:
             exchange.attempts += 1
             try:
-                attempt, data = await self._try(exchange)
-                if whole:
-                    data += await self._rest(attempt)
+                attempt, data = await self._run_attempt(exchange)
+                if buffered:
+                    data += await self._read_rest(attempt)
                 return attempt, data
             except errors.MountridgeError as problem:
-                self._judge(exchange, problem)
+                self._check_retry(exchange, problem)
 
     async def more(self, attempt: attempts.Attempt) -> bytes:
-        """Return more of a streamed answer, b'' at its end.
+        """Return the next data of a streamed answer, b'' at its end.
 
-        :raises BadAnswer: nothing came for too long.
+        :raises BadAnswer: no data arrived within the setting ``stall_s``.
         """
         with trio.move_on_after(self.settings['stall_s']):
             return await attempt.read()
         self.runners.record_failure(attempt.agent, self.app.now_s())
-        raise errors.BadAnswer(f'no data from {attempt.agent} in time')
+        raise errors.BadAnswer(
+            f'timed out waiting for more data from {attempt.agent}'
+        )
 
-    async def _rest(self, attempt: attempts.Attempt) -> bytes:
+    async def _read_rest(self, attempt: attempts.Attempt) -> bytes:
+        """Return the remaining data of an answer; close it on any failure."""
         parts = []
         try:
             while data := await attempt.read():
@@ -318,26 +348,26 @@
             raise
         return b''.join(parts)
 
-    def _judge(
+    def _check_retry(
         self, exchange: exchanges.Exchange, problem: errors.MountridgeError
     ) -> None:
-        """Return where another try is due; else raise the problem."""
-        again = retries.may_retry(
+        """Return if the request is to be retried; else raise the problem."""
+        allowed = retries.may_retry(
             problem,
             exchange.row.repeatable,
             exchange.attempts,
             self.settings['attempts'],
             exchange.time_left_s(self.app.now_s()),
         )
-        if not again:
+        if not allowed:
             raise problem
-        free = retries.is_redirect(problem)
-        if not free and not self.budget.spend(exchange.team):
+        uncharged = retries.is_redirect(problem)
+        if not uncharged and not self.budget.spend(exchange.team):
             raise problem
         self.app.metrics.incr('retry')
         self.note(exchange, 'retry', f'after {problem}', problem.code)
 
-    # Calls that may not be repeated.
+    # Claims of calls that may not be repeated.
 
     async def _claim(
         self,
@@ -345,10 +375,11 @@
         choice: placing.Choice,
         attempt: attempts.Attempt,
     ) -> attempts.Attempt | None:
-        """Claim the key for ``attempt``.
+        """Claim the idempotency key for ``attempt``.
 
-        None where it was granted. Else the attempt that holds the claim,
-        with its kept answer or joined to the one that is being given.
+        Returns None if the claim is granted. Otherwise returns an attempt
+        that yields the answer of the claim's holder: the stored answer, or
+        the one that its agent is sending.
         """
         state = self.runners.states[choice.name]
         claim = messages.Claim(
@@ -359,7 +390,7 @@
             choice.name,
             state.member.incarnation,
         )
-        reply = await self.leader.call(claim, CLAIM_S)
+        reply = await self.leader.call(claim, CLAIM_TIMEOUT_S)
         if reply.granted:
             exchange.may_have_run = False
             return None
@@ -371,58 +402,68 @@
             f'outcome {reply.outcome or "open"}',
         )
         if reply.outcome == errors.RAN and reply.status:
-            return _kept(reply)
+            return _stored_answer(reply)
         return await self._attach(exchange, reply)
 
     async def _attach(
         self, exchange: exchanges.Exchange, reply: messages.ClaimReply
     ) -> attempts.Attempt:
+        """Have the agent of the claim's holder send the answer here too.
+
+        :raises OutcomeUnknown: it can't; the call may have run.
+        :raises NoRunner: the call has not run, and its claim is released.
+        """
         state = self.runners.states.get(reply.agent)
         if not state or state.member.incarnation != reply.incarnation:
             raise errors.OutcomeUnknown(
-                f'{reply.agent} is gone; the call may have run'
+                f'{reply.agent} has restarted or is no longer a member;'
+                ' the call may have run'
             )
         joined = attempts.Attempt(utils.fresh_id(), reply.agent)
         self.attempts.add(joined)
-        caller = self._caller(reply.agent)
+        connection = self._connection(reply.agent)
         attach = messages.Attach(
             reply.attempt_id, reply.incarnation, joined.attempt_id
         )
         try:
-            found = await caller.call(attach, REVOKE_S)
+            found = await connection.call(attach, REVOKE_TIMEOUT_S)
             if found.outcome != errors.RAN:
-                await self._release(exchange, reply)
+                await self._release_claim(exchange, reply)
         except errors.MountridgeError:
             self.attempts.remove(joined)
             raise
         self.runners.record_sent(reply.agent, self.app.now_s())
         return joined
 
-    async def _release(
+    async def _release_claim(
         self, exchange: exchanges.Exchange, reply: messages.ClaimReply
     ) -> None:
-        """Free a claim whose ticket never reached its agent.
+        """Release a claim if its attempt can be barred; always raises.
 
-        :raises OutcomeUnknown: it may have run.
-        :raises NoRunner: it has not run and never will; try again.
+        :raises OutcomeUnknown: the attempt may have run.
+        :raises NoRunner: the attempt will never run; the call may be
+            retried.
         """
-        caller = self._caller(reply.agent)
+        connection = self._connection(reply.agent)
         revoke = messages.Revoke(reply.attempt_id, reply.incarnation)
-        barred = await caller.call(revoke, REVOKE_S)
+        barred = await connection.call(revoke, REVOKE_TIMEOUT_S)
         if barred.outcome != errors.NOT_RUN:
             raise errors.OutcomeUnknown(
-                f'the call with this key at {reply.agent}: {barred.outcome}'
+                f'outcome of the call with this key at {reply.agent}:'
+                f' {barred.outcome}'
             )
         outcome = messages.Outcome(
             exchange.key, reply.attempt_id, errors.NOT_RUN, 0, b''
         )
-        await self.leader.call(outcome, CLAIM_S)
+        await self.leader.call(outcome, CLAIM_TIMEOUT_S)
         exchange.may_have_run = False
-        raise errors.NoRunner('an earlier ticket was lost before its run')
+        raise errors.NoRunner(
+            'the earlier attempt with this key was revoked before it ran'
+        )
 
 
-def _kept(reply: messages.ClaimReply) -> attempts.Attempt:
-    """Return an ended attempt that gives the kept answer."""
+def _stored_answer(reply: messages.ClaimReply) -> attempts.Attempt:
+    """Return an ended attempt that yields the stored answer."""
     attempt = attempts.Attempt(reply.attempt_id, '')
     attempt.take(
         messages.Frame(
