--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -536,7 +536,7 @@
             attempt, data = await part.begin(exchange, whole)
             parts = [data]
             while not whole and parts[-1]:
-                parts.append(await part.dispatcher.more(attempt))
+                parts.append(await part.dispatcher.read_more(attempt))
             return Result(b''.join(parts), by=name)
         except errors.MountridgeError as problem:
             part.refuse(exchange, problem)
--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -76,7 +76,7 @@
             self.attempts.fail_lost(loss.tickets, 'the ticket may be lost')
         return not loss.old
 
-    def follow_view(self, listed) -> None:
+    def update_members(self, listed) -> None:
         """Apply the members of the view; disconnect from those removed."""
         for name in self.runners.update(listed, self.app.now_s()):
             self.attempts.fail_agent(name, 'restarted')
@@ -91,7 +91,7 @@
         if found:
             found[1].close()
 
-    async def watch(self) -> None:
+    async def monitor_agents(self) -> None:
         """Fail the attempts at agents that are unresponsive, in a loop."""
         while True:
             await trio.sleep(MONITOR_INTERVAL_S)
@@ -206,7 +206,7 @@
             )
         self.runners.record_sent(choice.name, self.app.now_s())
 
-    def note(
+    def record_decision(
         self,
         exchange: exchanges.Exchange,
         what: str,
@@ -237,7 +237,7 @@
             claimed = await self._claim(exchange, choice, attempt)
             if claimed is not None:
                 return claimed, await self._read_first(exchange, claimed)
-        self.note(exchange, 'place', choice.reason)
+        self.record_decision(exchange, 'place', choice.reason)
         self._send_ticket(exchange, choice, attempt)
         return attempt, await self._read_first(exchange, attempt)
 
@@ -323,7 +323,7 @@
             except errors.MountridgeError as problem:
                 self._check_retry(exchange, problem)
 
-    async def more(self, attempt: attempts.Attempt) -> bytes:
+    async def read_more(self, attempt: attempts.Attempt) -> bytes:
         """Return the next data of a streamed answer, b'' at its end.
 
         :raises BadAnswer: no data arrived within the setting ``stall_s``.
@@ -365,7 +365,9 @@
         if not uncharged and not self.budget.spend(exchange.team):
             raise problem
         self.app.metrics.incr('retry')
-        self.note(exchange, 'retry', f'after {problem}', problem.code)
+        self.record_decision(
+            exchange, 'retry', f'after {problem}', problem.code
+        )
 
     # Claims of calls that may not be repeated.
 
@@ -395,7 +397,7 @@
             exchange.may_have_run = False
             return None
         exchange.may_have_run = True
-        self.note(
+        self.record_decision(
             exchange,
             'attach',
             f'key claimed by {reply.request_id} at {reply.agent}, '
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -60,7 +60,7 @@
         """Bring what is derived from the view up to date."""
         if self.held.view.revision != self._view_revision:
             self._view_revision = self.held.view.revision
-            self.dispatcher.follow_view(self.members())
+            self.dispatcher.update_members(self.members())
 
     def members(self) -> list[views.Member]:
         """Return the members that the view names."""
@@ -135,7 +135,9 @@
     ) -> None:
         """Record and count a refusal or failure."""
         self.app.metrics.incr(f'refused.{problem.code}')
-        self.dispatcher.note(exchange, 'refuse', str(problem), problem.code)
+        self.dispatcher.record_decision(
+            exchange, 'refuse', str(problem), problem.code
+        )
 
     def addresses(self) -> dict:
         """Return the gateways that callers may use, the nearest first."""
@@ -253,8 +255,8 @@
         data = first
         while data:
             yield data
-            data = await gateway.dispatcher.more(attempt)
-        gateway.dispatcher.note(exchange, 'end', errors.RAN)
+            data = await gateway.dispatcher.read_more(attempt)
+        gateway.dispatcher.record_decision(exchange, 'end', errors.RAN)
     except errors.MountridgeError as problem:
         gateway.refuse(exchange, problem)
         raise
@@ -307,7 +309,7 @@
             kind = _stream_kind(attempt.status)
         else:
             body = first
-            gateway.dispatcher.note(exchange, 'end', errors.RAN)
+            gateway.dispatcher.record_decision(exchange, 'end', errors.RAN)
             kind = 'application/json'
         response = quart.Response(
             body, status=attempt.status, headers=headers, content_type=kind
@@ -379,7 +381,7 @@
         )
 
     app.handlers[messages.Ask] = on_ask
-    app.tasks += [gateway.hold_lease, gateway.dispatcher.watch]
+    app.tasks += [gateway.hold_lease, gateway.dispatcher.monitor_agents]
     app.drain.append(gateway.drain)
     app.dumpers['gateway'] = gateway.dump
     return gateway
