--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -380,12 +380,12 @@
     def frame(position, data, end=False):
         return messages.Frame('t1', position, data, end, 200, 0, '', 0.0)
 
-    assert attempt.take(frame(0, b'abc'))
-    assert not attempt.take(frame(0, b'abc'))
-    assert not attempt.take(frame(5, b'x'))
-    assert attempt.take(frame(3, b'de'))
-    assert attempt.take(frame(5, b'', True))
-    assert not attempt.take(frame(5, b'x'))
+    assert attempt.receive(frame(0, b'abc'))
+    assert not attempt.receive(frame(0, b'abc'))
+    assert not attempt.receive(frame(5, b'x'))
+    assert attempt.receive(frame(3, b'de'))
+    assert attempt.receive(frame(5, b'', True))
+    assert not attempt.receive(frame(5, b'x'))
     assert attempt.position == 5 and attempt.ended
 
 
--- a/mountridge/dispatch/attempts.py
+++ b/mountridge/dispatch/attempts.py
@@ -29,7 +29,7 @@
         self._buffered_bytes = 0
         self._changed = trio.Event()
 
-    def take(self, frame: messages.Frame) -> bool:
+    def receive(self, frame: messages.Frame) -> bool:
         """Append a frame; return false if it is not the next one expected."""
         if self.ended or frame.position != self.position:
             return False
@@ -94,7 +94,7 @@
         """Stop delivering frames to ``attempt``."""
         self.open.pop(attempt.attempt_id, None)
 
-    def take(self, frames: list[messages.Frame]) -> None:
+    def receive(self, frames: list[messages.Frame]) -> None:
         """Deliver frames to their attempts and count those of none.
 
         A gap in the positions fails the attempt.
@@ -103,7 +103,7 @@
             attempt = self.open.get(frame.attempt_id)
             if attempt is None:
                 self._incr('frame.stray')
-            elif not attempt.take(frame):
+            elif not attempt.receive(frame):
                 self._incr('frame.out_of_place')
                 if frame.position > attempt.position:
                     attempt.fail(errors.BadAnswer('a frame was lost'))
--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -58,7 +58,7 @@
     def _on_message(self, message) -> None:
         if isinstance(message, messages.Frames):
             if self._record_load(message.load, True):
-                self.attempts.take(message.frames)
+                self.attempts.receive(message.frames)
         elif isinstance(message, messages.Load):
             self._record_load(message, False)
 
@@ -467,7 +467,7 @@
 def _stored_answer(reply: messages.ClaimReply) -> attempts.Attempt:
     """Return an ended attempt that yields the stored answer."""
     attempt = attempts.Attempt(reply.attempt_id, '')
-    attempt.take(
+    attempt.receive(
         messages.Frame(
             reply.attempt_id,
             0,
