--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -2,10 +2,11 @@
 
 """Gateways, agents and controllers in one process, on virtual time.
 
-The daemons' own code runs; the world gives it channels whose messages can
-be lost, doubled, late or cut, runners, and a log. It leaves out sockets,
-callers' HTTP, and how the controllers agree, which has scenarios of its
-own: here one controller leads, and another does soon after it is lost.
+The code of the daemons runs unchanged over simulated channels, which can
+lose, duplicate, delay or block messages, and with simulated runners and a
+simulated log. Not simulated are sockets, the callers' HTTP connections and
+the consensus of the controllers, which other scenarios test: here one
+controller is_leader, and another is elected shortly after it is lost.
 """
 
 import collections
@@ -35,7 +36,7 @@
 LEADER_LEASE_S = 0.45
 WALL_S = 1_800_000_000.0
 
-#: What the head of a usual answer says.
+#: Head of the answer of a runner that has nothing to announce.
 ANSWERS = dialects.ReplyHead(200, None, False, None, None, None)
 SHEET = """team,service,concurrency,rate_per_s,queue_s,priority,repeatable
 crews,drafts,64,1000,5,draft,yes
@@ -45,14 +46,14 @@
 
 
 class Part(bytes):
-    """One part of a message, with the name of its sender."""
+    """A part of a message that carries the name of its sender."""
 
     def get(self, _):
         return self.sender
 
 
 class Channel:
-    """A process's end of the network: its own, or one to a peer."""
+    """The bound channel of a process, or its connection to a peer."""
 
     def __init__(self, world, owner, peer=None):
         self.world, self.owner, self.peer = world, owner, peer
@@ -78,7 +79,7 @@
 
 
 class Process(application.Application):
-    """A daemon whose sockets, clock and identity the world gives."""
+    """A daemon whose sockets, clock and identity are simulated."""
 
     def __init__(self, world, settings, generation):
         super().__init__(settings)
@@ -111,7 +112,7 @@
 
 
 class Replica:
-    """Stands in for the replicated log, which has its own scenarios."""
+    """Simulates the replicated log, which has its own scenarios."""
 
     def __init__(self, world, app, machine, on_role):
         self.world, self.app, self.machine = world, app, machine
@@ -135,7 +136,7 @@
         return reply
 
     def lease_valid(self):
-        return self.world.leads(self.app)
+        return self.world.is_leader(self.app)
 
     def check_leader(self):
         if not self.lease_valid():
@@ -161,7 +162,7 @@
         await trio.sleep(COMMIT_S)
 
     def on_raft(self, peer, message):
-        raise AssertionError('no such message here')
+        raise AssertionError('unexpected consensus message')
 
     async def run(self):
         self.catch_up()
@@ -172,7 +173,10 @@
 
 
 class Rule:
-    """Strike at the n-th message of a kind."""
+    """Applies an action to the n-th message of a kind.
+
+    ``test`` selects the messages that count.
+    """
 
     def __init__(self, kind, action, nth=1, test=None):
         self.kind, self.action, self.nth = kind, action, nth
@@ -189,7 +193,10 @@
 
 
 def rule_for(kind, action, nth=1):
-    """Return the rule for a kind of message as the scenarios name it."""
+    """Return the rule for a kind of message as named in the scenarios.
+
+    ``LastFrames`` are `Frames` that contain the end of an answer.
+    """
     if kind == 'LastFrames':
         return Rule(
             'Frames', action, nth, lambda m: any(f.end for f in m.frames)
@@ -197,13 +204,17 @@
     return Rule(kind, action, nth)
 
 
-async def _no_pieces():
+async def _empty_body():
     for data in ():
         yield data
 
 
 class Runner:
-    """A fake runner: remembers what it ran, answers in pieces."""
+    """A simulated runner that counts its runs and answers in pieces.
+
+    If ``cuts``, its answers break off after 3 pieces; if ``stalled``, they
+    stop without an end.
+    """
 
     def __init__(self, name):
         self.name = name
@@ -212,9 +223,9 @@
         self.pieces, self.gap_s = 5, 0.02
         self.stalled = self.cuts = False
         self.starts = []
-        #: What its answers say of it; a status of 503 turns all away.
+        #: Head of its answers; a status other than 200 refuses all requests.
         self.head = ANSWERS
-        #: When it turned a request away, and told that it leaves.
+        #: Times at which it refused a request, and announced that it leaves.
         self.refusals, self.words = [], []
 
     @contextlib.asynccontextmanager
@@ -223,7 +234,7 @@
         self.starts.append((trio.current_time(), mark))
         if self.head.status != 200:
             self.refusals.append(trio.current_time())
-            yield types.SimpleNamespace(head=self.head, pieces=_no_pieces)
+            yield types.SimpleNamespace(head=self.head, pieces=_empty_body)
             return
         if self.head.is_leaving:
             self.words.append(trio.current_time())
@@ -248,18 +259,18 @@
 
 
 def whole(mark, pieces=5):
-    """Return the whole answer to a request with ``mark``."""
+    """Return the complete answer to a request with ``mark``."""
     return b''.join(b'%s:%d;' % (mark.encode(), n) for n in range(pieces)) + (
         mark.encode() + b':end'
     )
 
 
 class Result:
-    """What a caller got: a whole answer, an error, or a lost connection."""
+    """The result for a caller: a complete answer, an error or neither."""
 
     def __init__(self, data=None, problem=None, by='', cut=False):
         self.data, self.problem, self.by = data, problem, by
-        self.cut = cut  # the connection broke
+        self.cut = cut  # the connection was closed before the end
         self.took_s = 0.0
 
     @property
@@ -270,7 +281,11 @@
 
 
 class World:
-    """All processes by name, the rules that strike, and the log."""
+    """All processes by name, the network with its faults, and the log.
+
+    ``cut`` has the (sender, receiver) pairs whose messages are dropped,
+    ``own`` the settings of a process that differ from the defaults.
+    """
 
     def __init__(
         self, nursery, seed, gateways=2, agents=2, controllers=3, entries=0
@@ -289,16 +304,16 @@
         self.rules = []
         self.cut = set()
         self.frozen_until_s = {}
-        self.cut_since_s = {}
+        self.isolated_since_s = {}
         self.log = []
         self.leader, self.term = '', 0
         self.last_due_s = {}
-        self.crossed = 0.0
+        self.reorder_probability = 0.0
         self.clock_step_s = 0.0
         self.results = []
         self.own = {}  # settings per name, over the defaults
 
-    # Life of processes.
+    # Processes.
 
     def settings(self, role, name):
         return settings_module.check(
@@ -316,7 +331,7 @@
                     'gateway': {'address_ttl_s': 2.0},
                     'agent': {'services': ['drafts', 'alarms', 'corrections']},
                     'controller': {'data': '-' if role != 'entry' else ''},
-                    # Where the first controller is, with its port.
+                    # The host of the first controller.
                     'entry': {'seeds': ['127.0.0.1']},
                 },
                 self.own.get(name, {}),
@@ -338,9 +353,9 @@
                 app, lambda *args: Replica(self, *args)
             )
         self.processes[name] = app
-        self.nursery.start_soon(self._live, app)
+        self.nursery.start_soon(self._run_process, app)
 
-    async def _live(self, app):
+    async def _run_process(self, app):
         with app.scope:
             await app.run()
         if self.processes.get(app.name) is app:
@@ -360,11 +375,11 @@
         self.start(name)
 
     def stop(self, name):
-        """Begin a planned stop."""
+        """Request a planned stop."""
         self.processes[name].stopping.set()
 
     async def begin(self, sheet=SHEET):
-        """Start all processes and put the table; return when in force."""
+        """Start all processes and put the table; wait until in force."""
         for name in self.controllers + list(self.runners) + self.gateways:
             self.start(name)
         await trio.sleep(0.01)
@@ -376,10 +391,10 @@
 
     # Leadership.
 
-    def leads(self, app):
+    def is_leader(self, app):
         if app.name != self.leader or self.processes.get(app.name) is not app:
             return False
-        since_s = self.cut_since_s.get(app.name)
+        since_s = self.isolated_since_s.get(app.name)
         if since_s is None:
             return True
         return trio.current_time() < since_s + LEADER_LEASE_S
@@ -387,7 +402,7 @@
     def elect(self, without=''):
         for name in self.controllers:
             usable = name in self.processes and name != without
-            if usable and name not in self.cut_since_s:
+            if usable and name not in self.isolated_since_s:
                 break
         else:
             return
@@ -404,15 +419,15 @@
             self.elect(without=lost)
 
     def cut_off(self, name):
-        """Cut a process off from all others, in silence."""
-        self.cut_since_s[name] = trio.current_time()
+        """Drop all messages from and to a process, without an error."""
+        self.isolated_since_s[name] = trio.current_time()
         if name == self.leader:
             self.nursery.start_soon(self._elect_later, name)
 
     def heal(self, name=None):
         self.cut.clear()
-        for each in [name] if name else list(self.cut_since_s):
-            self.cut_since_s.pop(each, None)
+        for each in [name] if name else list(self.isolated_since_s):
+            self.isolated_since_s.pop(each, None)
 
     # Messages.
 
@@ -427,20 +442,20 @@
             if rule.meets(message):
                 copies = rule.action(self, app, to) or []
         for extra_s in copies:
-            # Here, since tasks started at one moment run in any order.
+            # Computed here, since the order of tasks is not defined.
             due_s = self._due_s(app.name, to, extra_s)
             self.nursery.start_soon(self._deliver, app, to, data, reply, due_s)
 
-    def _blocked(self, one, other):
-        if one in self.cut_since_s or other in self.cut_since_s:
+    def _is_cut(self, one, other):
+        if one in self.isolated_since_s or other in self.isolated_since_s:
             return True
         return (one, other) in self.cut
 
     def _due_s(self, sender, to, extra_s):
         now_s = trio.current_time()
         due_s = now_s + LATENCY_S * (1 + self.rng.random()) + extra_s
-        if not extra_s and self.rng.random() >= self.crossed:
-            # One connection keeps its order.
+        if not extra_s and self.rng.random() >= self.reorder_probability:
+            # Messages of one connection stay in order.
             last_s = self.last_due_s.get((sender, to), 0)
             due_s = max(due_s, last_s + 1e-6)
             self.last_due_s[sender, to] = due_s
@@ -455,7 +470,7 @@
                 max(trio.current_time(), self.frozen_until_s.get(name, 0))
             )
         target = self.processes.get(to)
-        if target is None or self._blocked(app.name, to):
+        if target is None or self._is_cut(app.name, to):
             return
         if not reply:
             if target.channel is None:
@@ -470,10 +485,10 @@
                 dealer.put([data])
                 return
 
-    # What callers and operators do.
+    # Actions of callers and operators.
 
     async def put(self, sheet, base, operation, limit_s=20):
-        """Put a sheet through whoever leads; resend until answered."""
+        """Put a sheet through the leader; resend until it is answered."""
         rows = [tables.to_cells(r) for r in sheets.read_sheet(sheet)]
         message = messages.Put(operation, base, 'op', rows)
         with trio.fail_after(limit_s):
@@ -495,7 +510,11 @@
         vanish_s=None,
         whole=False,
     ):
-        """Send one request through a gateway and return the result."""
+        """Send a request through a gateway and return the result.
+
+        The caller closes its connection after ``vanish_s``, if given, and
+        the request counts as cut off after ``limit_s``.
+        """
         app = self.processes.get(name)
         if app is None or app.nursery is None:
             result = Result(by=name, cut=True)
@@ -507,12 +526,12 @@
             trio.current_time(),
         )  # fmt: skip
         result = Result(by=name)
-        begun_s = trio.current_time()
+        started_s = trio.current_time()
         done = trio.Event()
 
         async def run():
             nonlocal result
-            # As the HTTP server does when a caller closes its connection.
+            # The HTTP server cancels like this if the caller disconnects.
             with trio.move_on_after(vanish_s or float('inf')):
                 result = await self._run(name, exchange, whole)
             done.set()
@@ -524,7 +543,7 @@
                     await done.wait()
         if not done.is_set():
             result = Result(by=name, cut=True)
-        result.took_s = trio.current_time() - begun_s
+        result.took_s = trio.current_time() - started_s
         self.results.append((mark, result))
         return result
 
@@ -545,11 +564,11 @@
             gateway.end_request(part, exchange, attempt)
 
     def runs(self, mark):
-        """Return how often the request with ``mark`` was run in all."""
+        """Return how often all runners together ran the request ``mark``."""
         return sum(runner.runs[mark] for runner in self.runners.values())
 
     def machine(self):
-        """Return a state machine that has applied the whole log."""
+        """Return a state machine that has applied the complete log."""
         made = statemachine.StateMachine()
         for number, payload in enumerate(self.log):
             try:
@@ -559,7 +578,8 @@
         return made
 
 
-# Actions of rules: what becomes of the message, as extra delays of copies.
+# Actions of rules. Each returns the extra delays of the copies of the message
+# that are delivered, in seconds.
 
 
 def lose(world, app, to):
@@ -567,51 +587,51 @@
     return []
 
 
-def double(world, app, to):
-    """The message comes twice, the second time late."""
+def duplicate(world, app, to):
+    """The message is delivered twice, the second time delayed."""
     return [0.0, 0.7]
 
 
 def delay(world, app, to):
-    """The message comes late; others overtake it."""
+    """The message is delayed, and later messages overtake it."""
     return [2.5]
 
 
 def kill_sender_before(world, app, to):
-    """The sender dies before the message has left."""
+    """The sender is killed before the message is sent."""
     world.nursery.start_soon(world.restart, app.name)
     app.muted = True
     return []
 
 
 def kill_sender_after(world, app, to):
-    """The sender dies just after the message has left."""
+    """The sender is killed just after the message is sent."""
     world.nursery.start_soon(world.restart, app.name)
     return [0.0]
 
 
 def kill_receiver_before(world, app, to):
-    """The receiver dies before the message has come."""
+    """The receiver is killed before the message is delivered."""
     world.nursery.start_soon(world.restart, to)
     return []
 
 
 def kill_receiver_after(world, app, to):
-    """The receiver dies after it took the message, before it answers."""
+    """The receiver is killed after it handled the message, unanswered."""
     target = world.processes.get(to)
 
-    async def strike():
+    async def restart():
         await trio.sleep(2 * LATENCY_S)
         await world.restart(to)
 
     if target:
         target.muted = True
-        world.nursery.start_soon(strike)
+        world.nursery.start_soon(restart)
     return [0.0]
 
 
 def cut_both(world, app, to):
-    """The two are cut from each other for 4 s, the message lost."""
+    """The two are disconnected for 4 s, and the message is lost."""
     pair = {(app.name, to), (to, app.name)}
     world.cut |= pair
 
@@ -623,8 +643,8 @@
     return []
 
 
-def cut_back(world, app, to):
-    """The message comes, but nothing goes back for 4 s."""
+def cut_replies(world, app, to):
+    """The message is delivered, but replies are lost for 4 s."""
     pair = {(to, app.name)}
     world.cut |= pair
 
@@ -637,7 +657,7 @@
 
 
 def freeze_sender(world, app, to):
-    """The sender is frozen for 5 s; the message comes after that."""
+    """The sender is frozen for 5 s; the message is delivered after that."""
     world.frozen_until_s[app.name] = trio.current_time() + 5
     return [0.0]
 
@@ -648,8 +668,8 @@
     return [0.0]
 
 
-def cut_off_receiver(world, app, to):
-    """The receiver is cut off from all others for 8 s, in silence."""
+def isolate_receiver(world, app, to):
+    """All messages from and to the receiver are lost for 8 s."""
     world.cut_off(to)
 
     async def end():
@@ -662,17 +682,17 @@
 
 ACTIONS = {
     'is lost': lose,
-    'comes twice': double,
+    'comes twice': duplicate,
     'comes late': delay,
     'kills its sender before it leaves': kill_sender_before,
     'kills its sender after it left': kill_sender_after,
     'kills its receiver before it comes': kill_receiver_before,
     'kills its receiver after it came': kill_receiver_after,
     'meets a cut both ways': cut_both,
-    'meets a cut one way': cut_back,
+    'meets a cut one way': cut_replies,
     'freezes its sender': freeze_sender,
     'freezes its receiver': freeze_receiver,
-    'cuts its receiver off': cut_off_receiver,
+    'cuts its receiver off': isolate_receiver,
 }
 
 
@@ -694,5 +714,5 @@
 
 
 def play_for(context, script):
-    """Run a script over the world that a scenario describes."""
+    """Run a script with the seed and the sizes of a scenario."""
     return play(script, context.scenario.name, **context.sizes)
