--- a/features/worlds/core.py
+++ b/features/worlds/core.py
@@ -275,7 +275,7 @@
             return
         if not reply:
             if target.channel is not None:
-                part = system.Part(data)
+                part = system.FrameWithSender(data)
                 part.sender = app.name
                 route = f'{app.name}.{incarnation}.{number}'.encode()
                 target.channel.put([route, part])
--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -45,7 +45,7 @@
 """
 
 
-class Part(bytes):
+class FrameWithSender(bytes):
     """A part of a message that carries the name of its sender."""
 
     def get(self, _):
@@ -475,10 +475,10 @@
         if not reply:
             if target.channel is None:
                 return
-            part = Part(data)
-            part.sender = app.name
+            frame = FrameWithSender(data)
+            frame.sender = app.name
             route = f'{app.name}.{app.incarnation}.1'.encode()
-            target.channel.put([route, part])
+            target.channel.put([route, frame])
             return
         for dealer in target.dealers:
             if dealer.peer == app.name and not dealer.closed:
