--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -91,7 +91,7 @@
 def put_struck(context, message, fault):
     async def prepare(world):
         world.rules.append(
-            system_world.Rule(message, system_world.ACTIONS[fault])
+            system_world.FaultRule(message, system_world.ACTIONS[fault])
         )
         if message != 'Changes':
             await trio.sleep(0.5)
--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -186,10 +186,10 @@
 def take_out_under_fault(context, hall, message, fault, later):
     async def script(play):
         action = system_world.ACTIONS[fault]
-        rule = system_world.Rule(message, _restarting(play, action))
+        rule = system_world.FaultRule(message, _restarting(play, action))
         play.world.rules.append(rule)
         await play.order(hall, True)
-        assert rule.struck or message == 'Changes'
+        assert rule.triggered or message == 'Changes'
         await trio.sleep(later)
         await play.order(hall, False, first=1)
         await trio.sleep(10)
--- a/features/steps/system_steps.py
+++ b/features/steps/system_steps.py
@@ -46,7 +46,7 @@
     )
     # Some messages, the outcome for one, go out after the answer.
     await trio.sleep(0.2)
-    assert rule.struck, f'no {kind} was sent'
+    assert rule.triggered, f'no {kind} was sent'
     return result
 
 
@@ -129,7 +129,7 @@
                     world.request, name, 'crews', 'drafts', f'm{number}'
                 )
                 await trio.sleep(0.004)
-        assert rule.struck, f'no third {message} was sent'
+        assert rule.triggered, f'no third {message} was sent'
         results = world.results[2:]
         await trio.sleep(30)
         running = sum(r.running for r in world.runners.values())
--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -172,7 +172,7 @@
         self.world.elect(without=self.app.name)
 
 
-class Rule:
+class FaultRule:
     """Applies an action to the n-th message of a kind.
 
     ``test`` selects the messages that count.
@@ -182,13 +182,13 @@
         self.kind, self.action, self.nth = kind, action, nth
         self.test = test or (lambda message: True)
         self.seen = 0
-        self.struck = False
+        self.triggered = False
 
-    def meets(self, message):
+    def matches(self, message):
         if type(message).__name__ != self.kind or not self.test(message):
             return False
         self.seen += 1
-        self.struck = self.struck or self.seen == self.nth
+        self.triggered = self.triggered or self.seen == self.nth
         return self.seen == self.nth
 
 
@@ -198,10 +198,10 @@
     ``LastFrames`` are `Frames` that contain the end of an answer.
     """
     if kind == 'LastFrames':
-        return Rule(
+        return FaultRule(
             'Frames', action, nth, lambda m: any(f.end for f in m.frames)
         )
-    return Rule(kind, action, nth)
+    return FaultRule(kind, action, nth)
 
 
 async def _empty_body():
@@ -439,7 +439,7 @@
         message = messages.decode(data).message
         copies = [0.0]
         for rule in self.rules:
-            if rule.meets(message):
+            if rule.matches(message):
                 copies = rule.action(self, app, to) or []
         for extra_s in copies:
             # Computed here, since the order of tasks is not defined.
