--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -212,7 +212,9 @@
         world.heal(name)
         await trio.sleep(3)
         result = await world.request(name, 'crews', 'drafts', 'new')
-        assert result.data == system_world.whole('new'), result.problem
+        assert result.data == system_world.complete_answer(
+            'new'
+        ), result.problem
         context.rows = world.parts[name].rows.find('crews', 'drafts')
         context.expected = 100 + count - 1
 
@@ -266,5 +268,5 @@
 
 @then('"{name}" serves under the new table within {limit_s:d} s of the heal')
 def check_healed(context, name, limit_s):
-    assert context.after.data == system_world.whole('after')
+    assert context.after.data == system_world.complete_answer('after')
     assert context.version == 2
--- a/features/steps/operation_steps.py
+++ b/features/steps/operation_steps.py
@@ -105,7 +105,7 @@
     bad = [
         (mark, str(r.problem), r.cut)
         for mark, r in context.results
-        if r.data != system.whole(mark)
+        if r.data != system.complete_answer(mark)
     ]
     assert not bad, (len(bad), bad[:3])
 
--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -438,7 +438,10 @@
 @then('all calls have been answered completely')
 def check_complete(context):
     for mark, result in context.results:
-        assert result.data == system.whole(mark), (mark, result.problem)
+        assert result.data == system.complete_answer(mark), (
+            mark,
+            result.problem,
+        )
 
 
 @then('that runner has run some after it accepts requests again')
--- a/features/steps/system_steps.py
+++ b/features/steps/system_steps.py
@@ -77,7 +77,7 @@
     assert context.runs <= 1, context.runs
     result = context.result
     if result.data is not None:
-        assert result.data == system_world.whole('k'), result.data
+        assert result.data == system_world.complete_answer('k'), result.data
         assert context.runs == 1
         return
     # The answer died with its agent or gateway: that is said as unknown.
@@ -143,7 +143,9 @@
     assert len(context.results) == 6
     for mark, result in context.results:
         if result.data is not None:
-            assert result.data == system_world.whole(mark), result.data
+            assert result.data == system_world.complete_answer(
+                mark
+            ), result.data
         else:
             assert result.problem is not None or result.cut
 
@@ -201,7 +203,7 @@
 
 @then('the caller has its own whole answer')
 def check_own_whole(context):
-    expected = system_world.whole('long', 200)
+    expected = system_world.complete_answer('long', 200)
     assert context.result.data == expected, context.result.problem
 
 
@@ -240,7 +242,7 @@
 
 @then('the second answer is whole too, from its agent')
 def check_second(context):
-    expected = system_world.whole('k', context.pieces)
+    expected = system_world.complete_answer('k', context.pieces)
     first, second, _ = context.results
     assert first.data == expected, first.problem
     assert second.data == expected, second.problem or len(second.data)
--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -258,7 +258,7 @@
         yield f'{mark}:end'.encode()
 
 
-def whole(mark, pieces=5):
+def complete_answer(mark, pieces=5):
     """Return the complete answer to a request with ``mark``."""
     return b''.join(b'%s:%d;' % (mark.encode(), n) for n in range(pieces)) + (
         mark.encode() + b':end'
