--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -53,7 +53,9 @@
         self.play.sent.append((now_s, self.name, hall))
         await trio.sleep(0.01)
         head = dialects.ReplyHead(200, None, False, None, None, None)
-        yield types.SimpleNamespace(head=head, headers=[], whole=answers.whole)
+        yield types.SimpleNamespace(
+            head=head, headers=[], whole=answers.read_body
+        )
 
     async def forget(self, address):
         pass
--- a/features/worlds/answers.py
+++ b/features/worlds/answers.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What callers get and runners give where no connection is played."""
+"""Stand-ins for a caller's responder and for the body of a runner's answer."""
 
-__all__ = ['Responder', 'whole']
+__all__ = ['Responder', 'read_body']
 
 
 class Responder:
-    """Takes a whole answer."""
+    """Records a complete answer instead of sending it."""
 
     started = False
     status, headers, body = 0, {}, b''
@@ -15,6 +15,6 @@
         self.status, self.headers, self.body = status, dict(headers), body
 
 
-async def whole():
-    """Return the body of each runner's answer."""
+async def read_body():
+    """Return the body that each simulated runner answers with."""
     return b'whole'
--- a/features/worlds/crashes.py
+++ b/features/worlds/crashes.py
@@ -86,7 +86,9 @@
         if ended.is_set():
             raise errors.OutcomeUnknown('no answer: reset')
         head = dialects.ReplyHead(200, None, False, None, None, None)
-        yield types.SimpleNamespace(head=head, headers=[], whole=answers.whole)
+        yield types.SimpleNamespace(
+            head=head, headers=[], whole=answers.read_body
+        )
 
     async def is_refused(self, address):
         await trio.sleep(WAY_S)
--- a/features/worlds/rests.py
+++ b/features/worlds/rests.py
@@ -112,7 +112,7 @@
         headers = [(NAMES.request_id, request_id.encode()), *answer.headers]
         head = dialects.read_reply(answer.status, headers, NAMES)
         yield types.SimpleNamespace(
-            head=head, headers=headers, whole=answers.whole
+            head=head, headers=headers, whole=answers.read_body
         )
 
 
