--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -30,7 +30,7 @@
     def holders(self):
         for name, app in self.world.processes.items():
             if name[0] in 'ga':
-                yield name, app, self.world.parts[name].held
+                yield name, app, self.world.daemons[name].held
 
     def look(self):
         now_s = trio.current_time()
@@ -49,7 +49,7 @@
 
     def _all_new(self, now_s):
         """Return whether the leader says that the version is in force."""
-        part = self.world.parts.get(self.world.leader)
+        part = self.world.daemons.get(self.world.leader)
         if part is None or not part.replica.lease_valid():
             return False
         versions = part.machine.versions
@@ -215,7 +215,7 @@
         assert result.data == system_world.complete_answer(
             'new'
         ), result.problem
-        context.rows = world.parts[name].rows.find('crews', 'drafts')
+        context.rows = world.daemons[name].rows.find('crews', 'drafts')
         context.expected = 100 + count - 1
 
     system_world.play_for(context, script)
@@ -249,7 +249,7 @@
         await trio.sleep(2)
         result = await world.request(name, 'crews', 'drafts', 'after')
         context.after = result
-        held = world.parts[name].held
+        held = world.daemons[name].held
         context.version = _version(held)
 
     system_world.play_for(context, script)
--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -73,7 +73,7 @@
 
     def start(self, name):
         self.world.start(name)
-        part = self.world.parts[name]
+        part = self.world.daemons[name]
         if name in self.world.entries:
             part.forwarder.pool = Pool(self, name)
 
@@ -87,7 +87,7 @@
         await trio.sleep(0.01)
         world.elect()
         await trio.sleep(4)
-        part = world.parts['e1']
+        part = world.daemons['e1']
         await part.put_routes(_document())
         for number, hall in enumerate(HALLS * 2):
             runner = instances.Instance(
@@ -111,7 +111,7 @@
         begun_s = trio.current_time()
         responder = answers.Responder()
         request = httpserver.Request(b'GET', b'/1', [KEY], b'')
-        await self.world.parts[name].forwarder.handle(request, responder)
+        await self.world.daemons[name].forwarder.handle(request, responder)
         now_s = trio.current_time()
         body = {} if responder.status == 200 else json.loads(responder.body)
         code = body['error']['code'] if body else 0
@@ -140,7 +140,7 @@
             # The HTTP server cancels a request when its caller disconnects.
             with trio.move_on_after(wait_s):
                 try:
-                    part = self.world.parts[name]
+                    part = self.world.daemons[name]
                     is_done = (await part.set_hall(hall, is_out)) is not None
                 except errors.MountridgeError as problem:
                     assert problem.status == 503, problem
@@ -211,7 +211,7 @@
         for _ in range(300):
             await trio.sleep(0.01)
             for name in play.world.entries:
-                part = play.world.parts[name]
+                part = play.world.daemons[name]
                 if not isinstance(part.forwarder.pool, Pool):
                     part.forwarder.pool = Pool(play, name)
 
@@ -350,7 +350,7 @@
     assert not context.was_acknowledged
     check_orders(context, 5)
     for name in context.play.world.entries:
-        assert not context.play.world.parts[name].backends.halls_out
+        assert not context.play.world.daemons[name].backends.halls_out
 
 
 @when('{names} are taken out')
@@ -391,7 +391,7 @@
             if name != hall:
                 await play.order(name, True)
         await trio.sleep(2)
-        known = play.world.parts['e1'].backends
+        known = play.world.daemons['e1'].backends
 
         def report(is_open):
             for key in known.by_id:
--- a/features/steps/operation_steps.py
+++ b/features/steps/operation_steps.py
@@ -46,7 +46,7 @@
 def _usable(world, count):
     """Return a gateway, as an answer to "which address" names it."""
     for name in world.gateways:
-        part = world.parts[name]
+        part = world.daemons[name]
         live = world.processes.get(name)
         if live and part.held.valid(trio.current_time()):
             listed = sorted(
@@ -168,7 +168,7 @@
         await trio.sleep(3.5)
         before = len(world.runners['a1'].starts)
         # Gateways that have not heard of it may still send it tickets.
-        part = world.parts['a1']
+        part = world.daemons['a1']
         ticket = messages.Ticket(
             'r', 't', part.app.incarnation, 'crews', 'drafts', '/', b'{}',
             1, 1.0, 5.0, 60.0, '', trio.current_time(), '', 1,
@@ -298,7 +298,7 @@
         end_s = trio.current_time() + 10
 
         def pings(runner):
-            agent = world.parts[runner.name]
+            agent = world.daemons[runner.name]
             return sum(1 for p, _ in agent.queue.running.values() if p == 0)
 
         async with trio.open_nursery() as nursery:
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -255,7 +255,7 @@
 
 def _suspect(play, body):
     """Let the first gateway see three crashes that others have caused."""
-    first = play.world.parts['e1'].forwarder
+    first = play.world.daemons['e1'].forwarder
     request = httpserver.Request(b'POST', b'/1', [crashes.KEY], body)
     digest = first.quarantine.digest(request, None, None)
     for number in range(3):
@@ -290,7 +290,7 @@
         await trio.sleep(later_s)
         context.code = await play.ask('e2', b'innocent')
         await trio.sleep(1)
-        context.known = await play.world.parts['e3'].read_quarantine()
+        context.known = await play.world.daemons['e3'].read_quarantine()
 
     crashes.play(context, script, **context.sizes)
 
@@ -341,7 +341,7 @@
 def release(context):
     async def script(play):
         await _until_held(play)
-        entry = play.world.parts['e2']
+        entry = play.world.daemons['e2']
         context.calls = entryapi.handlers(entry, entryapi.NATIVE).control
         context.listed = (await _call(context, b'GET', b''))['quarantine']
         target = context.listed[0]['digest'].encode() + b'/release'
--- a/features/worlds/crashes.py
+++ b/features/worlds/crashes.py
@@ -115,7 +115,7 @@
     def start(self, name):
         self.world.start(name)
         if name in self.world.entries:
-            self.world.parts[name].forwarder.pool = _Pool(self, name)
+            self.world.daemons[name].forwarder.pool = _Pool(self, name)
 
     async def begin(self, experts):
         for name in self.world.controllers + self.world.entries:
@@ -123,7 +123,7 @@
         await trio.sleep(0.01)
         self.world.elect()
         await trio.sleep(4)
-        await self.world.parts['e1'].put_routes(_document(experts))
+        await self.world.daemons['e1'].put_routes(_document(experts))
         for runner in self.runners.values():
             await self.beat(runner)
         self.world.nursery.start_soon(self._beats)
@@ -143,7 +143,7 @@
             with contextlib.suppress(errors.MountridgeError):
                 seq = round(trio.current_time() * 1000)
                 heartbeat = messages.Heartbeat(runner.instance(), seq)
-                await self.world.parts[name].heartbeat(heartbeat)
+                await self.world.daemons[name].heartbeat(heartbeat)
                 return
 
     async def back(self, runner):
@@ -160,7 +160,7 @@
             body,
         )
         responder = answers.Responder()
-        await self.world.parts[name].forwarder.handle(request, responder)
+        await self.world.daemons[name].forwarder.handle(request, responder)
         now_s = trio.current_time()
         is_own = responder.status != 200
         told = json.loads(responder.body) if is_own else {}
--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -293,7 +293,7 @@
         self.nursery = nursery
         self.rng = random.Random(seed)
         self.processes = {}
-        self.parts = {}  # name -> the gateway, agent or controller in it
+        self.daemons = {}  # name -> its gateway, agent, entry or controller
         self.generations = collections.Counter()
         self.runners = {
             f'a{n + 1}': Runner(f'a{n + 1}') for n in range(agents)
@@ -343,13 +343,13 @@
         self.generations[name] += 1
         app = Process(self, self.settings(role, name), self.generations[name])
         if role == 'gateway':
-            self.parts[name] = gateway.build(app)
+            self.daemons[name] = gateway.build(app)
         elif role == 'agent':
-            self.parts[name] = agent.build(app, self.runners[name])
+            self.daemons[name] = agent.build(app, self.runners[name])
         elif role == 'entry':
-            self.parts[name] = entry.build(app, dialects.NATIVE, None)
+            self.daemons[name] = entry.build(app, dialects.NATIVE, None)
         else:
-            self.parts[name] = controller.build(
+            self.daemons[name] = controller.build(
                 app, lambda *args: Replica(self, *args)
             )
         self.processes[name] = app
@@ -408,10 +408,10 @@
             return
         self.leader = name
         self.term += 1
-        part = self.parts[name]
-        part.replica.catch_up()
-        part.replica.node.term = self.term
-        part.on_role(None)
+        daemon = self.daemons[name]
+        daemon.replica.catch_up()
+        daemon.replica.node.term = self.term
+        daemon.on_role(None)
 
     async def _elect_later(self, lost):
         await trio.sleep(ELECTION_S)
@@ -493,9 +493,9 @@
         message = messages.Put(operation, base, 'op', rows)
         with trio.fail_after(limit_s):
             while True:
-                part = self.parts.get(self.leader)
+                daemon = self.daemons.get(self.leader)
                 try:
-                    return await part.put(None, message)
+                    return await daemon.put(None, message)
                 except errors.NoController:
                     await trio.sleep(0.1)
 
@@ -548,20 +548,20 @@
         return result
 
     async def _run(self, name, exchange, whole):
-        part = self.parts[name]
+        daemon = self.daemons[name]
         attempt = None
-        part.open_requests += 1
+        daemon.open_requests += 1
         try:
-            attempt, data = await part.begin(exchange, whole)
+            attempt, data = await daemon.begin(exchange, whole)
             parts = [data]
             while not whole and parts[-1]:
-                parts.append(await part.dispatcher.read_more(attempt))
+                parts.append(await daemon.dispatcher.read_more(attempt))
             return Result(b''.join(parts), by=name)
         except errors.MountridgeError as problem:
-            part.refuse(exchange, problem)
+            daemon.refuse(exchange, problem)
             return Result(problem=problem, by=name, cut=attempt is not None)
         finally:
-            gateway.end_request(part, exchange, attempt)
+            gateway.end_request(daemon, exchange, attempt)
 
     def runs(self, mark):
         """Return how often all runners together ran the request ``mark``."""
