--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -110,10 +110,10 @@
             if fault == 'killed':
                 world.kill(leader)
             elif fault == 'cut off in silence':
-                world.cut_off(leader)
+                world.isolate(leader)
             elif fault == 'frozen':
                 world.frozen_until_s[leader] = trio.current_time() + 6
-                world.cut_off(leader)
+                world.isolate(leader)
             else:
                 world.stop(leader)
 
@@ -202,7 +202,7 @@
             reply = await world.put(sheet, number + 1, f'op {number}')
             assert reply.accepted
         world.start(name)
-        world.cut_off(name)
+        world.isolate(name)
         await trio.sleep(0.1)
         context.codes = []
         for _ in range(10):
@@ -235,8 +235,8 @@
     async def script(world):
         await world.begin()
         await world.request(name, 'crews', 'drafts', 'before')
-        world.cut |= {(name, c) for c in world.controllers}
-        world.cut |= {(c, name) for c in world.controllers}
+        world.cut_links |= {(name, c) for c in world.controllers}
+        world.cut_links |= {(c, name) for c in world.controllers}
         cut_s = trio.current_time()
         await world.put(NEW, 1, 'second')
         context.seen = []
--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -239,7 +239,7 @@
 
 
 async def _cut_off_entry(play):
-    play.world.cut_off('e2')
+    play.world.isolate('e2')
     await trio.sleep(3.5)
     play.world.heal('e2')
     play.stale_until_s['e2'] = trio.current_time() + 2
@@ -325,9 +325,9 @@
 def order_on_both_sides(context, hall):
     async def script(play):
         world = play.world
-        world.cut_off(world.leader)
+        world.isolate(world.leader)
         for name in ('c2', 'c3'):
-            world.cut |= {('e1', name), (name, 'e1')}
+            world.cut_links |= {('e1', name), (name, 'e1')}
 
         async def cut_off_order():
             # Its caller is cut off too, so the entry can't notice that it
@@ -423,7 +423,7 @@
         await play.order(hall, True)
         play.world.kill('e2')
         await trio.sleep(1)
-        play.world.cut_off('e2')
+        play.world.isolate('e2')
         context.from_s = trio.current_time()
         play.start('e2')
         await trio.sleep(6)
--- a/features/steps/operation_steps.py
+++ b/features/steps/operation_steps.py
@@ -144,7 +144,7 @@
             await world.request(name, 'crews', 'drafts', f'first {number}')
         for name in world.gateways:
             for each in world.controllers:
-                world.cut |= {(name, each), (each, name)}
+                world.cut_links |= {(name, each), (each, name)}
         before = len(world.runners['a1'].starts)
         world.stop('a1')
         async with trio.open_nursery() as nursery:
@@ -164,7 +164,7 @@
 def deaf_agent(context):
     async def script(world):
         await world.begin()
-        world.cut |= {(c, 'a1') for c in world.controllers}
+        world.cut_links |= {(c, 'a1') for c in world.controllers}
         await trio.sleep(3.5)
         before = len(world.runners['a1'].starts)
         # Gateways that have not heard of it may still send it tickets.
@@ -376,11 +376,11 @@
         world.nursery.start_soon(world.restart, 'g2')
     elif fault.startswith('a gateway is cut'):
         for each in world.controllers:
-            world.cut |= {('g2', each), (each, 'g2')}
+            world.cut_links |= {('g2', each), (each, 'g2')}
     elif fault == 'the leader is killed':
         world.kill(world.leader)
     elif fault == 'the leader is cut off in silence':
-        world.cut_off(world.leader)
+        world.isolate(world.leader)
 
 
 @then('never more than {limit:d} run at once')
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -63,7 +63,7 @@
         await trio.sleep(1.5)
         play.start(leader)
     elif case == 'a gateway is cut off after one':
-        await _when_crashed(play, 1, lambda: play.world.cut_off('e3'))
+        await _when_crashed(play, 1, lambda: play.world.isolate('e3'))
         await trio.sleep(8)
         play.world.heal('e3')
 
--- a/features/steps/system_steps.py
+++ b/features/steps/system_steps.py
@@ -184,7 +184,7 @@
         await trio.sleep(1)
         name = next(n for n, r in world.runners.items() if r.running)
         for each in world.controllers:
-            world.cut |= {(name, each), (each, name)}
+            world.cut_links |= {(name, each), (each, name)}
         await trio.sleep(5)
         for runner in world.runners.values():
             runner.pieces = 5
--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -283,7 +283,7 @@
 class World:
     """All processes by name, the network with its faults, and the log.
 
-    ``cut`` has the (sender, receiver) pairs whose messages are dropped,
+    ``cut_links`` has the (sender, receiver) pairs whose messages are dropped,
     ``own`` the settings of a process that differ from the defaults.
     """
 
@@ -302,7 +302,7 @@
         self.controllers = [f'c{n + 1}' for n in range(controllers)]
         self.entries = [f'e{n + 1}' for n in range(entries)]
         self.rules = []
-        self.cut = set()
+        self.cut_links = set()
         self.frozen_until_s = {}
         self.isolated_since_s = {}
         self.log = []
@@ -418,14 +418,14 @@
         if self.leader == lost:
             self.elect(without=lost)
 
-    def cut_off(self, name):
+    def isolate(self, name):
         """Drop all messages from and to a process, without an error."""
         self.isolated_since_s[name] = trio.current_time()
         if name == self.leader:
             self.nursery.start_soon(self._elect_later, name)
 
     def heal(self, name=None):
-        self.cut.clear()
+        self.cut_links.clear()
         for each in [name] if name else list(self.isolated_since_s):
             self.isolated_since_s.pop(each, None)
 
@@ -449,7 +449,7 @@
     def _is_cut(self, one, other):
         if one in self.isolated_since_s or other in self.isolated_since_s:
             return True
-        return (one, other) in self.cut
+        return (one, other) in self.cut_links
 
     def _due_s(self, sender, to, extra_s):
         now_s = trio.current_time()
@@ -630,14 +630,14 @@
     return [0.0]
 
 
-def cut_both(world, app, to):
+def disconnect(world, app, to):
     """The two are disconnected for 4 s, and the message is lost."""
     pair = {(app.name, to), (to, app.name)}
-    world.cut |= pair
+    world.cut_links |= pair
 
     async def end():
         await trio.sleep(4)
-        world.cut.difference_update(pair)
+        world.cut_links.difference_update(pair)
 
     world.nursery.start_soon(end)
     return []
@@ -646,11 +646,11 @@
 def cut_replies(world, app, to):
     """The message is delivered, but replies are lost for 4 s."""
     pair = {(to, app.name)}
-    world.cut |= pair
+    world.cut_links |= pair
 
     async def end():
         await trio.sleep(4)
-        world.cut.difference_update(pair)
+        world.cut_links.difference_update(pair)
 
     world.nursery.start_soon(end)
     return [0.0]
@@ -670,7 +670,7 @@
 
 def isolate_receiver(world, app, to):
     """All messages from and to the receiver are lost for 8 s."""
-    world.cut_off(to)
+    world.isolate(to)
 
     async def end():
         await trio.sleep(8)
@@ -688,7 +688,7 @@
     'kills its sender after it left': kill_sender_after,
     'kills its receiver before it comes': kill_receiver_before,
     'kills its receiver after it came': kill_receiver_after,
-    'meets a cut both ways': cut_both,
+    'meets a cut both ways': disconnect,
     'meets a cut one way': cut_replies,
     'freezes its sender': freeze_sender,
     'freezes its receiver': freeze_receiver,
