--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -79,7 +79,7 @@
 
     async def begin(self):
         world = self.world
-        world.own = {
+        world.settings_overrides = {
             name: {'hall': hall} for name, hall in zip(world.entries, HALLS)
         }
         for name in world.controllers + world.entries:
--- a/features/steps/operation_steps.py
+++ b/features/steps/operation_steps.py
@@ -192,7 +192,7 @@
 
 def _small(world, slots=4):
     for name in world.runners:
-        world.own[name] = {'agent': {'slots': slots}}
+        world.settings_overrides[name] = {'agent': {'slots': slots}}
 
 
 @when(
@@ -398,7 +398,9 @@
 @when('a runner stalls for {span_s:d} s while callers ask')
 def stall(context, span_s):
     async def script(world):
-        world.own['g1'] = world.own['g2'] = {'gateway': {'stall_s': 2.0}}
+        world.settings_overrides['g1'] = world.settings_overrides['g2'] = {
+            'gateway': {'stall_s': 2.0}
+        }
         await world.begin()
         runner = world.runners['a1']
         async with trio.open_nursery() as nursery:
@@ -437,7 +439,7 @@
     async def script(world):
         await world.begin()
         for runner in world.runners.values():
-            runner.pieces, runner.cuts = 5, True
+            runner.pieces, runner.truncates = 5, True
             runner.gap_s = 0.0
         before = sum(len(r.starts) for r in world.runners.values())
         await _callers(world, 0.05, count * 0.05, whole=True)
--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -360,7 +360,7 @@
     return dialects.ReplyHead(503, None, True, None, None, None, span_s)
 
 
-LEAVES = system.ANSWERS._replace(is_leaving=True)
+LEAVES = system.REPLY_HEAD._replace(is_leaving=True)
 
 
 CALLS, DRAFTS = ('receipts', 'corrections'), ('crews', 'drafts')
@@ -378,7 +378,7 @@
             await trio.sleep(from_s)
             runner.head = head
             await trio.sleep(to_s - from_s)
-            runner.head = system.ANSWERS
+            runner.head = system.REPLY_HEAD
             context.back_s = trio.current_time()
 
         async def call(number):
@@ -459,7 +459,7 @@
 
 @then('that runner gets nothing later than {late_s:g} s after that')
 def check_leaves_agent(context, late_s):
-    announced_s = context.runner.words[0]
+    announced_s = context.runner.announcements[0]
     late = [x for x, _ in context.runner.starts if x > announced_s + late_s]
     assert not late, (announced_s, late)
 
--- a/features/steps/system_steps.py
+++ b/features/steps/system_steps.py
@@ -260,7 +260,7 @@
     async def script(world):
         await world.begin()
         for runner in world.runners.values():
-            runner.cuts = True
+            runner.truncates = True
         for name in ('g1', 'g2'):
             await world.request(
                 name, 'receipts', 'corrections', 'k', _key('k')
--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -37,7 +37,7 @@
 WALL_S = 1_800_000_000.0
 
 #: Head of the answer of a runner that has nothing to announce.
-ANSWERS = dialects.ReplyHead(200, None, False, None, None, None)
+REPLY_HEAD = dialects.ReplyHead(200, None, False, None, None, None)
 SHEET = """team,service,concurrency,rate_per_s,queue_s,priority,repeatable
 crews,drafts,64,1000,5,draft,yes
 control-room,alarms,32,1000,1,alarm,yes
@@ -212,8 +212,8 @@
 class Runner:
     """A simulated runner that counts its runs and answers in pieces.
 
-    If ``cuts``, its answers break off after 3 pieces; if ``stalled``, they
-    stop without an end.
+    If ``truncates``, its answers break off after 3 pieces. If ``stalled``,
+    they stop without an end.
     """
 
     def __init__(self, name):
@@ -221,12 +221,12 @@
         self.runs = collections.Counter()
         self.running = 0
         self.pieces, self.gap_s = 5, 0.02
-        self.stalled = self.cuts = False
+        self.stalled = self.truncates = False
         self.starts = []
         #: Head of its answers; a status other than 200 refuses all requests.
-        self.head = ANSWERS
+        self.head = REPLY_HEAD
         #: Times at which it refused a request, and announced that it leaves.
-        self.refusals, self.words = [], []
+        self.refusals, self.announcements = [], []
 
     @contextlib.asynccontextmanager
     async def request(self, path, headers, body):
@@ -237,7 +237,7 @@
             yield types.SimpleNamespace(head=self.head, pieces=_empty_body)
             return
         if self.head.is_leaving:
-            self.words.append(trio.current_time())
+            self.announcements.append(trio.current_time())
         self.runs[mark] += 1
         self.running += 1
         try:
@@ -251,7 +251,7 @@
         for number in range(self.pieces):
             if self.stalled:
                 await trio.sleep_forever()
-            if self.cuts and number == 3:
+            if self.truncates and number == 3:
                 raise errors.BadAnswer('cut')
             yield f'{mark}:{number};'.encode()
             await trio.sleep(self.gap_s)
@@ -284,7 +284,7 @@
     """All processes by name, the network with its faults, and the log.
 
     ``cut_links`` has the (sender, receiver) pairs whose messages are dropped,
-    ``own`` the settings of a process that differ from the defaults.
+    ``settings_overrides`` the settings of a process over the defaults.
     """
 
     def __init__(
@@ -311,7 +311,7 @@
         self.reorder_probability = 0.0
         self.clock_step_s = 0.0
         self.results = []
-        self.own = {}  # settings per name, over the defaults
+        self.settings_overrides = {}  # by the name of the process
 
     # Processes.
 
@@ -334,7 +334,7 @@
                     # The host of the first controller.
                     'entry': {'seeds': ['127.0.0.1']},
                 },
-                self.own.get(name, {}),
+                self.settings_overrides.get(name, {}),
             )
         )
 
