--- a/features/requests.feature
+++ b/features/requests.feature
@@ -1,14 +1,14 @@
-Feature: One fault at each step of a request
+Feature: A single fault at each step of a request
 
-  Each row strikes at one message of the protocol with one fault. What is
-  asserted is what callers get and what the runners ran.
+  Each example injects one fault into one message of the protocol, and checks
+  what the callers received and what the runners ran.
 
   Scenario Outline: At most once when <message> <fault>
     Given a system of 2 gateways, 2 agents and 3 controllers
     When a call with a key is made and its <message> <fault>
-    And the caller resends it through the other gateways until it is whole
-    Then it has run at most once, and the caller has its own whole answer
-    And nothing that was told not to have run had run
+    And the caller resends it through alternating gateways until it has an answer
+    Then it ran at most once, and the caller has its own complete answer
+    And it had not run whenever it was reported as not run
 
     Examples:
       | message | fault |
@@ -73,11 +73,11 @@
       | Outcome | freezes its receiver |
       | Outcome | cuts its receiver off |
 
-  Scenario Outline: Not run is not run when <message> <fault>
+  Scenario Outline: Nothing reported as not run has run when <message> <fault>
     Given a system of 2 gateways, 2 agents and 3 controllers
     When a call with a key is made and its <message> <fault>
     And the caller gives up, and 60 s pass
-    Then it has run at most once, and not at all if the caller was told so
+    Then it ran at most once, and not at all if it was reported as not run
 
     Examples:
       | message | fault |
@@ -130,13 +130,13 @@
       | Frames | freezes its receiver |
       | Frames | cuts its receiver off |
 
-  Scenario Outline: Whole answers when <message> <fault>
+  Scenario Outline: Complete answers when <message> <fault>
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When 6 callers ask at once and the third <message> <fault>
-    Then each caller has its own whole answer, or an error and no end
+    When 6 callers send requests at once and the third <message> <fault>
+    Then each caller has its own complete answer or an error
     And no caller waits longer than 10 s
-    And most callers have their answer
-    And the runners work on nothing 30 s later
+    And at least half of the callers have their answer
+    And the runners are idle 30 s later
 
     Examples:
       | message | fault |
@@ -189,19 +189,19 @@
       | LastFrames | freezes its receiver |
       | LastFrames | cuts its receiver off |
 
-  Scenario: An agent cut off from the controllers ends what it runs
+  Scenario: An agent disconnected from the controllers completes its requests
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When an agent is cut off from the controllers during a long answer
-    Then the caller has its own whole answer
-    And no new request went to that agent once its lease was out
+    When an agent is disconnected from the controllers during a long answer
+    Then the caller has its own complete answer
+    And no new request is sent to that agent after its lease has expired
 
-  Scenario: An answer too large to keep in the log is never cut to fit
+  Scenario: An answer too large to store in the log is never truncated
     Given a system of 2 gateways, 2 agents and 3 controllers
     When a call with a key has an answer of 40000 pieces and is sent again
-    Then the second answer is whole too, from its agent
-    And once the agent has restarted the outcome is unknown, and it ran once
+    Then the second answer, sent by the agent, is complete too
+    And after the agent has restarted the outcome is unknown, and it ran once
 
-  Scenario: A cut answer to a call with a key is not kept as a whole one
+  Scenario: A truncated answer to a call with a key is not stored as complete
     Given a system of 2 gateways, 2 agents and 3 controllers
-    When a call with a key has its answer cut by the runner and is sent again
-    Then neither answer is passed off as whole, and it ran once
+    When a call with a key has its answer truncated by the runner and is sent again
+    Then neither answer is delivered as complete, and it ran once
--- a/features/steps/system_steps.py
+++ b/features/steps/system_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on the daemons' own code over a scripted network."""
+"""Steps that run the code of the daemons over a simulated network."""
 
 import logging
 
@@ -44,19 +44,21 @@
     result = await world.request(
         'g1', 'receipts', 'corrections', 'k', _key('k')
     )
-    # Some messages, the outcome for one, go out after the answer.
+    # Some messages, such as the outcome, are sent after the answer.
     await trio.sleep(0.2)
     assert rule.triggered, f'no {kind} was sent'
     return result
 
 
-@when('the caller resends it through the other gateways until it is whole')
+@when(
+    'the caller resends it through alternating gateways until it has an answer'
+)
 def resend(context):
     async def script(world):
-        told = []
+        reported = []
         result = await _first_call(context, world)
         for number in range(60):
-            told.append((result.outcome, world.runs('k')))
+            reported.append((result.outcome, world.runs('k')))
             if result.data is not None:
                 break
             await trio.sleep(1)
@@ -65,31 +67,31 @@
                 name, 'receipts', 'corrections', 'k', _key('k')
             )
         await trio.sleep(30)
-        return result, told, world.runs('k')
+        return result, reported, world.runs('k')
 
-    context.result, context.told, context.runs = system_world.play_for(
+    context.result, context.reported, context.runs = system_world.play_for(
         context, script
     )
 
 
-@then('it has run at most once, and the caller has its own whole answer')
-def check_once_whole(context):
+@then('it ran at most once, and the caller has its own complete answer')
+def check_once_complete(context):
     assert context.runs <= 1, context.runs
     result = context.result
     if result.data is not None:
         assert result.data == system_world.complete_answer('k'), result.data
         assert context.runs == 1
         return
-    # The answer died with its agent or gateway: that is said as unknown.
+    # An answer lost with its agent or gateway has an unknown outcome.
     assert result.outcome == errors.UNKNOWN, result.problem
     assert 'kills' in context.scenario.name, result.problem
 
 
-@then('nothing that was told not to have run had run')
-def check_told(context):
-    for outcome, runs in context.told:
+@then('it had not run whenever it was reported as not run')
+def check_reported(context):
+    for outcome, runs in context.reported:
         if outcome == errors.NOT_RUN:
-            assert runs == 0, context.told
+            assert runs == 0, context.reported
 
 
 @when('the caller gives up, and {seconds:d} s pass')
@@ -102,7 +104,7 @@
     context.result, context.runs = system_world.play_for(context, script)
 
 
-@then('it has run at most once, and not at all if the caller was told so')
+@then('it ran at most once, and not at all if it was reported as not run')
 def check_not_run(context):
     assert context.runs <= 1
     if context.result.outcome == errors.NOT_RUN:
@@ -111,13 +113,15 @@
         assert context.runs == 1
 
 
-@when('{count:d} callers ask at once and the third {message} {fault}')
-def ask_at_once(context, count, message, fault):
+@when(
+    '{count:d} callers send requests at once and the third {message} {fault}'
+)
+def send_at_once(context, count, message, fault):
     action = system_world.ACTIONS[fault]
 
     async def script(world):
         await world.begin()
-        # All runners are known before the fault.
+        # Both gateways have sent a request before the fault.
         await world.request('g1', 'crews', 'drafts', 'first')
         await world.request('g2', 'crews', 'drafts', 'second')
         rule = system_world.rule_for(message, action, 3)
@@ -138,7 +142,7 @@
     context.results, context.running = system_world.play_for(context, script)
 
 
-@then('each caller has its own whole answer, or an error and no end')
+@then('each caller has its own complete answer or an error')
 def check_each(context):
     assert len(context.results) == 6
     for mark, result in context.results:
@@ -156,31 +160,31 @@
     assert max(waits) <= limit_s, sorted(waits)[-5:]
 
 
-@then('most callers have their answer')
-def check_most(context):
-    good = [r for _, r in context.results if r.data is not None]
-    assert len(good) >= 3, [str(r.problem) for _, r in context.results]
+@then('at least half of the callers have their answer')
+def check_half(context):
+    answered = [r for _, r in context.results if r.data is not None]
+    assert len(answered) >= 3, [str(r.problem) for _, r in context.results]
 
 
-@then('the runners work on nothing {seconds:d} s later')
+@then('the runners are idle {seconds:d} s later')
 def check_idle(context, seconds):
     assert context.running == 0, context.running
 
 
-@when('an agent is cut off from the controllers during a long answer')
-def cut_agent(context):
+@when('an agent is disconnected from the controllers during a long answer')
+def disconnect_agent(context):
     async def script(world):
         await world.begin()
         for runner in world.runners.values():
             runner.pieces, runner.gap_s = 200, 0.1
         results = []
 
-        async def ask():
+        async def send():
             results.append(
                 await world.request('g1', 'crews', 'drafts', 'long')
             )
 
-        world.nursery.start_soon(ask)
+        world.nursery.start_soon(send)
         await trio.sleep(1)
         name = next(n for n, r in world.runners.items() if r.running)
         for each in world.controllers:
@@ -194,22 +198,22 @@
                 'g2', 'crews', 'drafts', f'new {number}'
             )
             assert result.data is not None, result.problem
-        context.later = len(world.runners[name].starts) - before
+        context.requests_after = len(world.runners[name].starts) - before
         await trio.sleep(30)
         return results[0]
 
     context.result = system_world.play_for(context, script)
 
 
-@then('the caller has its own whole answer')
-def check_own_whole(context):
+@then('the caller has its own complete answer')
+def check_own_answer(context):
     expected = system_world.complete_answer('long', 200)
     assert context.result.data == expected, context.result.problem
 
 
-@then('no new request went to that agent once its lease was out')
+@then('no new request is sent to that agent after its lease has expired')
 def check_no_new(context):
-    assert context.later == 0, context.later
+    assert context.requests_after == 0, context.later
 
 
 @when('a call with a key has an answer of {count:d} pieces and is sent again')
@@ -240,7 +244,7 @@
     context.results, context.runs, context.pieces = found
 
 
-@then('the second answer is whole too, from its agent')
+@then('the second answer, sent by the agent, is complete too')
 def check_second(context):
     expected = system_world.complete_answer('k', context.pieces)
     first, second, _ = context.results
@@ -248,15 +252,18 @@
     assert second.data == expected, second.problem or len(second.data)
 
 
-@then('once the agent has restarted the outcome is unknown, and it ran once')
+@then('after the agent has restarted the outcome is unknown, and it ran once')
 def check_unknown(context):
     last = context.results[2]
     assert last.data is None and last.outcome == errors.UNKNOWN, last.data
     assert context.runs == 1
 
 
-@when('a call with a key has its answer cut by the runner and is sent again')
-def cut_answer(context):
+@when(
+    'a call with a key has its answer truncated by the runner and is sent'
+    ' again'
+)
+def truncate_answer(context):
     async def script(world):
         await world.begin()
         for runner in world.runners.values():
@@ -271,7 +278,7 @@
     context.results, context.runs = system_world.play_for(context, script)
 
 
-@then('neither answer is passed off as whole, and it ran once')
+@then('neither answer is delivered as complete, and it ran once')
 def check_neither(context):
     for result in context.results:
         assert result.data is None, result.data
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -218,7 +218,7 @@
     Mutant(
         'cut answers kept as whole', 'agent',
         'ended_well = attempt.last is not None and not attempt.last.code',
-        'ended_well = True', 'requests', 'not kept as',
+        'ended_well = True', 'requests', 'not stored as',
     ),
     Mutant(
         'answers too large kept as empty', 'statemachine',
@@ -232,17 +232,17 @@
     Mutant(
         'a cut passed off as an end', 'attempts',
         '        if self.problem:\n            raise self.problem\n', '',
-        'requests', 'Whole|Not run',
+        'requests', 'Complete|not run',
     ),
     Mutant(
         'losses that no one counts', 'links',
         'frames = load.frames_seq > expected', 'frames = False',
-        'requests', 'Whole',
+        'requests', 'Complete',
     ),
     Mutant(
         'lost tickets that no one counts', 'links',
         'if now_s - sent_s > TICKET_TIMEOUT_S', 'if False', 'requests',
-        'Whole',
+        'Complete',
     ),
     Mutant(
         'work of a vanished caller goes on', 'dispatching',
