--- a/features/processes.feature
+++ b/features/processes.feature
@@ -5,16 +5,16 @@
     And the sample table is in force
     When the leading controller is killed
     Then a new table can be put and is in force
-    And the system still answers
+    And the system still serves requests
 
-  Scenario: The leader is frozen and thaws while it believes it leads
+  Scenario: A frozen leader resumes while it still considers itself the leader
     Given a system with 3 controller, 1 gateways and 1 agents
     And the sample table is in force
     When the leading controller is frozen
     Then a new table can be put and is in force
-    When the frozen controller thaws
-    Then the table is still the new one, at each controller
-    And the system still answers
+    When the frozen controller resumes
+    Then each controller has the new table
+    And the system still serves requests
 
   Scenario: A disk is lost, the box is replaced, and another box is lost
     Given a system with 3 controller, 1 gateways and 1 agents
@@ -22,38 +22,38 @@
     When a follower's disk is lost and the operator replaces it
     And another follower is killed
     Then a new table can be put and is in force
-    And the system still answers
+    And the system still serves requests
 
   Scenario: A full disk ends no process, and nothing is acknowledged on it
     Given a system with 3 controller, 1 gateways and 1 agents
     And the sample table is in force
-    When a follower starts again on a disk with no room left
+    When a follower restarts on a disk with no space left
     Then a new table can be put and is in force
-    And that controller runs, with code 1702 in its log, and holds no new entry
-    And it holds the new table once it starts again with room
+    And that controller runs, has logged code 1702 and stores no new entry
+    And it stores new entries after a restart with free space
 
   Scenario: An agent is killed in the middle of an answer
     Given a system with 1 controller, 1 gateways and 2 agents
     And the sample table is in force
     When an agent is killed in the middle of a streamed answer
-    Then the caller sees the connection break, not an end
-    And the system still answers
+    Then the caller's connection breaks before the end of the answer
+    And the system still serves requests
 
-  Scenario: The same calls through the client library that callers use
+  Scenario: Requests through the OpenAI client library
     Given a system with 1 controller, 1 gateways and 1 agents
     And the sample table is in force
-    When the openai client asks for a chat, streamed and not
-    Then both answers are whole
-    And it gets an unknown model as its own not-found error
+    When the openai client requests a chat, streamed and not streamed
+    Then both answers are complete
+    And it raises its not-found error for an unknown model
 
-  Scenario: A process without the right key gets nowhere
+  Scenario: A process with an unknown key gets no answer
     Given a system with 1 controller, 1 gateways and 1 agents
     And the sample table is in force
-    When a process with a key of its own asks for the state of "g1"
-    Then it is not answered and exits 3
-    And the system still answers
+    When a process with an unknown key requests the state of "g1"
+    Then it gets no answer and exits with status 3
+    And the system still serves requests
 
-  Scenario: Making a data folder beside a running system is refused
+  Scenario: Creating a data folder while the system is running is refused
     Given a system with 3 controller, 1 gateways and 1 agents
     And the sample table is in force
     When an operator runs storage init for one more box
--- a/features/steps/fault_steps.py
+++ b/features/steps/fault_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on faults of real processes over loopback."""
+"""Steps that inject faults into real processes over loopback."""
 
 import json
 import pathlib
@@ -50,12 +50,12 @@
     cluster.wait_for(put, 60)
 
 
-@when('the frozen controller thaws')
-def thaw(context):
+@when('the frozen controller resumes')
+def resume_controller(context):
     context.cluster.signal(context.frozen, signal.SIGCONT)
 
 
-@then('the table is still the new one, at each controller')
+@then('each controller has the new table')
 def check_table(context):
     made = context.cluster
 
@@ -94,8 +94,8 @@
     context.cluster.kill(context.other)
 
 
-@when('a follower starts again on a disk with no room left')
-def full_disk(context):
+@when('a follower restarts on a disk with no space left')
+def restart_on_full_disk(context):
     made = context.cluster
     context.full = _followers(made)[0]
     made.kill(context.full)
@@ -103,29 +103,26 @@
     made.start(context.full, journal.stat().st_size + 100)
 
 
-@then(
-    'that controller runs, with code {code:d} in its log, '
-    'and holds no new entry'
-)
+@then('that controller runs, has logged code {code:d} and stores no new entry')
 def check_full(context, code):
     made = context.cluster
     log = made.folder / f'{context.full}.log'
     cluster.wait_for(lambda: f'"code": {code}' in log.read_text())
     assert made.processes[context.full].poll() is None
-    held = storage.read(str(made.folder / f'data-{context.full}'))
-    context.held = held.entries[-1].index
+    stored = storage.read(str(made.folder / f'data-{context.full}'))
+    context.last_stored = stored.entries[-1].index
     newest = made.dump(made.leader())['controller']['commit']
-    assert context.held < newest, (context.held, newest)
+    assert context.last_stored < newest, (context.last_stored, newest)
 
 
-@then('it holds the new table once it starts again with room')
-def check_room(context):
+@then('it stores new entries after a restart with free space')
+def check_space(context):
     made = context.cluster
     made.kill(context.full)
     made.start(context.full)
     folder = str(made.folder / f'data-{context.full}')
     cluster.wait_for(
-        lambda: storage.read(folder).entries[-1].index > context.held
+        lambda: storage.read(folder).entries[-1].index > context.last_stored
     )
 
 
@@ -157,49 +154,49 @@
         context.broken = True
 
 
-@then('the caller sees the connection break, not an end')
+@then("the caller's connection breaks before the end of the answer")
 def check_break(context):
     assert context.seen and '[DONE]' not in context.seen
     assert context.broken
 
 
-@when('the openai client asks for a chat, streamed and not')
-def ask_openai(context):
+@when('the openai client requests a chat, streamed and not streamed')
+def request_openai(context):
     address = context.cluster.http['g1']
     context.client = openai.OpenAI(
         base_url=f'http://{address}/v1', api_key='dispatch', max_retries=0
     )
-    asked = {
+    arguments = {
         'model': 'drafts',
         'messages': [{'role': 'user', 'content': 'hello'}],
     }
-    streamed = context.client.chat.completions.create(stream=True, **asked)
+    streamed = context.client.chat.completions.create(stream=True, **arguments)
     context.pieces = [
         chunk.choices[0].delta.content or '' for chunk in streamed
     ]
-    answer = context.client.chat.completions.create(**asked)
+    answer = context.client.chat.completions.create(**arguments)
     context.answer = answer.choices[0].message.content
 
 
-@then('both answers are whole')
+@then('both answers are complete')
 def check_openai(context):
     expected = [f'w{n}' for n in range(12)]
     assert ''.join(context.pieces).split() == expected
     assert context.answer.split() == expected
 
 
-@then('it gets an unknown model as its own not-found error')
+@then('it raises its not-found error for an unknown model')
 def check_not_found(context):
     try:
         context.client.chat.completions.create(model='no', messages=[])
     except openai.NotFoundError as problem:
         assert problem.body['code'] == 1103, problem.body
     else:
-        raise AssertionError('no error')
+        raise AssertionError('no error was raised')
 
 
-@when('a process with a key of its own asks for the state of "{name}"')
-def foreign_key(context, name):
+@when('a process with an unknown key requests the state of "{name}"')
+def use_unknown_key(context, name):
     made = context.cluster
     keys.make(str(made.folder / 'foreign'), ['stranger'])
     for path in (made.folder / 'keys').glob('*.key'):
@@ -219,7 +216,7 @@
     )
 
 
-@then('it is not answered and exits {code:d}')
+@then('it gets no answer and exits with status {code:d}')
 def check_exit(context, code):
     assert context.done.returncode == code, context.done
     assert 'open_requests' not in context.done.stdout
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on real processes over loopback."""
+"""Steps that run requests through real processes over loopback."""
 
 import json
 import pathlib
@@ -43,13 +43,13 @@
             context.cluster.wait_ready(name, context.agents)
 
 
-@when('a caller asks which address to use')
-def ask_address(context):
+@when('a caller requests the addresses of the gateways')
+def request_addresses(context):
     url = f'http://{context.cluster.http["g1"]}/v1/address'
     context.addresses = httpx.get(url).json()
 
 
-@then('the answer names {count:d} addresses with a time to live')
+@then('the answer has {count:d} addresses with a time to live')
 def check_addresses(context, count):
     assert len(context.addresses['addresses']) == count, context.addresses
     assert context.addresses['ttl_s'] > 0
@@ -68,8 +68,8 @@
     context.response = response
 
 
-@then('the answer is whole with {count:d} tokens')
-def check_whole(context, count):
+@then('the answer is complete with {count:d} tokens')
+def check_tokens(context, count):
     lines = [x for x in context.response.text.split('\n\n') if x]
     assert lines[-1] == 'data: [DONE]', lines
     words = [
@@ -85,14 +85,14 @@
     context.response = _post(context, team, path, '{}')
 
 
-@then('the call answers {status:d}')
+@then('the call returns status {status:d}')
 def check_status(context, status):
     assert context.response.status_code == status, context.response.text
 
 
 @then(
-    'asking about the last request gives a reason from "{name}" and an'
-    ' agent'
+    'the decisions on the last request have a reason from "{name}" and one'
+    ' from an agent'
 )
 def check_reasons(context, name):
     request_id = context.response.headers['x-request-id']
@@ -122,7 +122,7 @@
     context.answers.append(response)
 
 
-@then('both calls answered alike and it ran once')
+@then('both calls returned the same answer and it ran once')
 def check_once(context):
     first, second = context.answers
     assert first.status_code == second.status_code == 200, second.text
@@ -153,7 +153,7 @@
     assert response.json()['error']['code'] == code, response.text
 
 
-@then('the system still answers')
-def check_answers(context):
+@then('the system still serves requests')
+def check_serving(context):
     stream_chat(context, 'dispatch', 'drafts')
-    check_whole(context, 12)
+    check_tokens(context, 12)
