--- a/mountridge/dispatch/upstreams.py
+++ b/mountridge/dispatch/upstreams.py
@@ -2,8 +2,8 @@
 
 """HTTP requests from the agent to its runner, over `lasthop` connections.
 
-httpx is not used here, since it takes more CPU time per token than the rest
-of the agent; see docs/MEASUREMENTS.md.
+httpx is not used here, since it costs more per token than all other work of
+the agent; see docs/MEASUREMENTS.md.
 """
 
 import contextlib
