--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -31,7 +31,7 @@
     def holders(self):
         for name, app in self.world.processes.items():
             if name[0] in 'ga':
-                yield name, app, self.world.parts[name].held
+                yield name, app, self.world.daemons[name].held
 
     def check(self):
         now_s = trio.current_time()
@@ -50,7 +50,7 @@
 
     def _all_new(self, now_s):
         """Return whether the leader says that the version is in force."""
-        part = self.world.parts.get(self.world.leader)
+        part = self.world.daemons.get(self.world.leader)
         if part is None or not part.replica.lease_valid():
             return False
         versions = part.machine.versions
@@ -92,7 +92,7 @@
 def put_with_fault(context, message, fault):
     async def prepare(world):
         world.rules.append(
-            system_world.Rule(message, system_world.ACTIONS[fault])
+            system_world.FaultRule(message, system_world.ACTIONS[fault])
         )
         if message != 'Changes':
             await trio.sleep(0.5)
@@ -111,10 +111,10 @@
             if fault == 'killed':
                 world.kill(leader)
             elif fault == 'cut off in silence':
-                world.cut_off(leader)
+                world.isolate(leader)
             elif fault == 'frozen':
                 world.frozen_until_s[leader] = trio.current_time() + 6
-                world.cut_off(leader)
+                world.isolate(leader)
             else:
                 world.stop(leader)
 
@@ -206,7 +206,7 @@
             reply = await world.put(sheet, number + 1, f'op {number}')
             assert reply.accepted
         world.start(name)
-        world.cut_off(name)
+        world.isolate(name)
         await trio.sleep(0.1)
         context.codes = []
         for _ in range(10):
@@ -216,8 +216,10 @@
         world.heal(name)
         await trio.sleep(3)
         result = await world.request(name, 'crews', 'drafts', 'new')
-        assert result.data == system_world.whole('new'), result.problem
-        context.rows = world.parts[name].rows.find('crews', 'drafts')
+        assert result.data == system_world.complete_answer(
+            'new'
+        ), result.problem
+        context.rows = world.daemons[name].rows.find('crews', 'drafts')
         context.expected = 100 + count - 1
 
     system_world.play_for(context, script)
@@ -240,8 +242,8 @@
     async def script(world):
         await world.begin()
         await world.request(name, 'crews', 'drafts', 'before')
-        world.cut |= {(name, c) for c in world.controllers}
-        world.cut |= {(c, name) for c in world.controllers}
+        world.cut_links |= {(name, c) for c in world.controllers}
+        world.cut_links |= {(c, name) for c in world.controllers}
         cut_s = trio.current_time()
         await world.put(NEW, 1, 'second')
         context.seen = []
@@ -254,7 +256,7 @@
         await trio.sleep(2)
         result = await world.request(name, 'crews', 'drafts', 'after')
         context.after = result
-        held = world.parts[name].held
+        held = world.daemons[name].held
         context.version = _version(held)
 
     system_world.play_for(context, script)
@@ -276,5 +278,5 @@
     ' the cut'
 )
 def check_healed(context, name, limit_s):
-    assert context.after.data == system_world.whole('after')
+    assert context.after.data == system_world.complete_answer('after')
     assert context.version == 2
--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -54,7 +54,7 @@
         await trio.sleep(0.01)
         head = dialects.ReplyHead(200, None, False, None, None, None)
         yield types.SimpleNamespace(
-            head=head, headers=[], read_body=answers.whole
+            head=head, headers=[], read_body=answers.read_body
         )
 
     async def evict(self, address):
@@ -73,13 +73,13 @@
 
     def start(self, name):
         self.world.start(name)
-        part = self.world.parts[name]
+        part = self.world.daemons[name]
         if name in self.world.entries:
             part.forwarder.pool = Pool(self, name)
 
     async def begin(self):
         world = self.world
-        world.own = {
+        world.settings_overrides = {
             name: {'hall': hall} for name, hall in zip(world.entries, HALLS)
         }
         for name in world.controllers + world.entries:
@@ -87,7 +87,7 @@
         await trio.sleep(0.01)
         world.elect()
         await trio.sleep(4)
-        part = world.parts['e1']
+        part = world.daemons['e1']
         await part.put_routes(_document())
         for number, hall in enumerate(HALLS * 2):
             runner = instances.Instance(
@@ -111,7 +111,7 @@
         begun_s = trio.current_time()
         responder = answers.Responder()
         request = httpserver.Request(b'GET', b'/1', [KEY], b'')
-        await self.world.parts[name].forwarder.handle(request, responder)
+        await self.world.daemons[name].forwarder.handle(request, responder)
         now_s = trio.current_time()
         body = {} if responder.status == 200 else json.loads(responder.body)
         code = body['error']['code'] if body else 0
@@ -140,7 +140,7 @@
             # The HTTP server cancels a request when its caller disconnects.
             with trio.move_on_after(wait_s):
                 try:
-                    part = self.world.parts[name]
+                    part = self.world.daemons[name]
                     is_done = (await part.set_hall(hall, is_out)) is not None
                 except errors.MountridgeError as problem:
                     assert problem.status == 503, problem
@@ -188,10 +188,10 @@
 def take_out_under_fault(context, hall, message, fault, later):
     async def script(play):
         action = system_world.ACTIONS[fault]
-        rule = system_world.Rule(message, _restarting(play, action))
+        rule = system_world.FaultRule(message, _restarting(play, action))
         play.world.rules.append(rule)
         await play.order(hall, True)
-        assert rule.struck or message == 'Changes'
+        assert rule.triggered or message == 'Changes'
         await trio.sleep(later)
         await play.order(hall, False, first=1)
         await trio.sleep(10)
@@ -211,7 +211,7 @@
         for _ in range(300):
             await trio.sleep(0.01)
             for name in play.world.entries:
-                part = play.world.parts[name]
+                part = play.world.daemons[name]
                 if not isinstance(part.forwarder.pool, Pool):
                     part.forwarder.pool = Pool(play, name)
 
@@ -239,7 +239,7 @@
 
 
 async def _cut_off_entry(play):
-    play.world.cut_off('e2')
+    play.world.isolate('e2')
     await trio.sleep(3.5)
     play.world.heal('e2')
     play.stale_until_s['e2'] = trio.current_time() + 2
@@ -325,9 +325,9 @@
 def order_on_both_sides(context, hall):
     async def script(play):
         world = play.world
-        world.cut_off(world.leader)
+        world.isolate(world.leader)
         for name in ('c2', 'c3'):
-            world.cut |= {('e1', name), (name, 'e1')}
+            world.cut_links |= {('e1', name), (name, 'e1')}
 
         async def cut_off_order():
             # Its caller is cut off too, so the entry can't notice that it
@@ -350,7 +350,7 @@
     assert not context.was_acknowledged
     check_orders(context, 5)
     for name in context.play.world.entries:
-        assert not context.play.world.parts[name].backends.halls_out
+        assert not context.play.world.daemons[name].backends.halls_out
 
 
 @when('{names} are taken out')
@@ -391,7 +391,7 @@
             if name != hall:
                 await play.order(name, True)
         await trio.sleep(2)
-        known = play.world.parts['e1'].backends
+        known = play.world.daemons['e1'].backends
 
         def report(is_open):
             for key in known.by_id:
@@ -423,7 +423,7 @@
         await play.order(hall, True)
         play.world.kill('e2')
         await trio.sleep(1)
-        play.world.cut_off('e2')
+        play.world.isolate('e2')
         context.from_s = trio.current_time()
         play.start('e2')
         await trio.sleep(6)
--- a/features/steps/operation_steps.py
+++ b/features/steps/operation_steps.py
@@ -49,7 +49,7 @@
 def _usable_gateway(world, count):
     """Return a gateway as the address directory would list it."""
     for name in world.gateways:
-        part = world.parts[name]
+        part = world.daemons[name]
         live = world.processes.get(name)
         if live and part.held.valid(trio.current_time()):
             listed = sorted(
@@ -108,7 +108,7 @@
     bad = [
         (mark, str(r.problem), r.cut)
         for mark, r in context.results
-        if r.data != system.whole(mark)
+        if r.data != system.complete_answer(mark)
     ]
     assert not bad, (len(bad), bad[:3])
 
@@ -150,7 +150,7 @@
             await world.request(name, 'crews', 'drafts', f'first {number}')
         for name in world.gateways:
             for each in world.controllers:
-                world.cut |= {(name, each), (each, name)}
+                world.cut_links |= {(name, each), (each, name)}
         before = len(world.runners['a1'].starts)
         world.stop('a1')
         async with trio.open_nursery() as nursery:
@@ -170,11 +170,11 @@
 def cut_answers(context):
     async def script(world):
         await world.begin()
-        world.cut |= {(c, 'a1') for c in world.controllers}
+        world.cut_links |= {(c, 'a1') for c in world.controllers}
         await trio.sleep(3.5)
         before = len(world.runners['a1'].starts)
         # A gateway that is not informed may still send it tickets.
-        part = world.parts['a1']
+        part = world.daemons['a1']
         ticket = messages.Ticket(
             'r', 't', part.app.incarnation, 'crews', 'drafts', '/', b'{}',
             1, 1.0, 5.0, 60.0, '', trio.current_time(), '', 1,
@@ -198,7 +198,7 @@
 
 def _limit_slots(world, slots=4):
     for name in world.runners:
-        world.own[name] = {'agent': {'slots': slots}}
+        world.settings_overrides[name] = {'agent': {'slots': slots}}
 
 
 @when(
@@ -304,7 +304,7 @@
         end_s = trio.current_time() + 10
 
         def pings(runner):
-            agent = world.parts[runner.name]
+            agent = world.daemons[runner.name]
             return sum(1 for p, _ in agent.queue.running.values() if p == 0)
 
         async with trio.open_nursery() as nursery:
@@ -385,11 +385,11 @@
         world.nursery.start_soon(world.restart, 'g2')
     elif fault.startswith('a gateway is cut'):
         for each in world.controllers:
-            world.cut |= {('g2', each), (each, 'g2')}
+            world.cut_links |= {('g2', each), (each, 'g2')}
     elif fault == 'the leader is killed':
         world.kill(world.leader)
     elif fault == 'the leader is cut off from all others':
-        world.cut_off(world.leader)
+        world.isolate(world.leader)
 
 
 @then('no more than {limit:d} requests run concurrently')
@@ -407,7 +407,9 @@
 @when('a runner stalls for {span_s:d} s while callers send requests')
 def stall_runner(context, span_s):
     async def script(world):
-        world.own['g1'] = world.own['g2'] = {'gateway': {'stall_s': 2.0}}
+        world.settings_overrides['g1'] = world.settings_overrides['g2'] = {
+            'gateway': {'stall_s': 2.0}
+        }
         await world.begin()
         runner = world.runners['a1']
         async with trio.open_nursery() as nursery:
@@ -446,7 +448,7 @@
     async def script(world):
         await world.begin()
         for runner in world.runners.values():
-            runner.pieces, runner.cuts = 5, True
+            runner.pieces, runner.truncates = 5, True
             runner.gap_s = 0.0
         before = sum(len(r.starts) for r in world.runners.values())
         await _send_requests(world, 0.05, count * 0.05, whole=True)
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -63,7 +63,7 @@
         await trio.sleep(1.5)
         play.start(leader)
     elif case == 'a gateway is partitioned after one crash':
-        await _when_crashed(play, 1, lambda: play.world.cut_off('e3'))
+        await _when_crashed(play, 1, lambda: play.world.isolate('e3'))
         await trio.sleep(8)
         play.world.heal('e3')
 
@@ -259,7 +259,7 @@
 
 def _suspect(play, body):
     """Record three crashes with other causes at the first gateway."""
-    first = play.world.parts['e1'].forwarder
+    first = play.world.daemons['e1'].forwarder
     request = httpserver.Request(b'POST', b'/1', [crashes.KEY], body)
     digest = first.quarantine.digest(request, None, None)
     for number in range(3):
@@ -294,7 +294,7 @@
         await trio.sleep(later_s)
         context.code = await play.ask('e2', b'innocent')
         await trio.sleep(1)
-        context.records = await play.world.parts['e3'].read_quarantine()
+        context.records = await play.world.daemons['e3'].read_quarantine()
 
     crashes.play(context, script, **context.sizes)
 
@@ -354,7 +354,7 @@
 def release(context):
     async def script(play):
         await _until_quarantined(play)
-        entry = play.world.parts['e2']
+        entry = play.world.daemons['e2']
         context.calls = entryapi.handlers(entry, entryapi.NATIVE).control
         context.listed = (await _call(context, b'GET', b''))['quarantine']
         target = context.listed[0]['digest'].encode() + b'/release'
--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -192,7 +192,7 @@
 
 
 def _push(queue, name, team='t', priority=2, weight=1.0, expires_s=1e6):
-    item = queues.Waiting(name, team, priority, weight, expires_s)
+    item = queues.QueuedRequest(name, team, priority, weight, expires_s)
     queue.push(item, 0.0)
 
 
@@ -230,7 +230,7 @@
     for _ in range(80):
         item = queue.pop(0.0)
         started.append(item.team)
-        queue.done(item.attempt_id, 1.0)
+        queue.release_slot(item.attempt_id, 1.0)
     assert 58 <= started.count('a') <= 62, started.count('a')
 
 
@@ -380,12 +380,12 @@
     def frame(position, data, end=False):
         return messages.Frame('t1', position, data, end, 200, 0, '', 0.0)
 
-    assert attempt.take(frame(0, b'abc'))
-    assert not attempt.take(frame(0, b'abc'))
-    assert not attempt.take(frame(5, b'x'))
-    assert attempt.take(frame(3, b'de'))
-    assert attempt.take(frame(5, b'', True))
-    assert not attempt.take(frame(5, b'x'))
+    assert attempt.receive(frame(0, b'abc'))
+    assert not attempt.receive(frame(0, b'abc'))
+    assert not attempt.receive(frame(5, b'x'))
+    assert attempt.receive(frame(3, b'de'))
+    assert attempt.receive(frame(5, b'', True))
+    assert not attempt.receive(frame(5, b'x'))
     assert attempt.position == 5 and attempt.ended
 
 
@@ -410,15 +410,15 @@
 def ejected(context):
     known = context.known
     for _ in range(2):
-        known.failed('a0', 100.0)
+        known.record_failure('a0', 100.0)
     assert _out(known, 100.0) == set()
-    known.failed('a0', 100.0)
+    known.record_failure('a0', 100.0)
     assert _out(known, 101.9) == {'a0'}
     assert _out(known, 102.1) == set(), 'it is not probed'
-    known.failed('a0', 103.0)
+    known.record_failure('a0', 103.0)
     assert _out(known, 106.9) == {'a0'} and _out(known, 107.1) == set()
-    known.first_data('a0', 0.1)
-    known.failed('a0', 108.0)
+    known.record_first_data('a0', 0.1)
+    known.record_failure('a0', 108.0)
     assert _out(known, 108.1) == set()
 
 
@@ -426,7 +426,7 @@
 def capped(context, count, most):
     for number in range(count):
         for _ in range(3):
-            context.known.failed(f'a{number}', 200.0)
+            context.known.record_failure(f'a{number}', 200.0)
     assert len(_out(context.known, 200.1)) == most
 
 
--- a/features/worlds/crashes.py
+++ b/features/worlds/crashes.py
@@ -87,7 +87,7 @@
             raise errors.OutcomeUnknown('no answer: reset')
         head = dialects.ReplyHead(200, None, False, None, None, None)
         yield types.SimpleNamespace(
-            head=head, headers=[], read_body=answers.whole
+            head=head, headers=[], read_body=answers.read_body
         )
 
     async def refuses_connections(self, address):
@@ -115,7 +115,7 @@
     def start(self, name):
         self.world.start(name)
         if name in self.world.entries:
-            self.world.parts[name].forwarder.pool = _Pool(self, name)
+            self.world.daemons[name].forwarder.pool = _Pool(self, name)
 
     async def begin(self, experts):
         for name in self.world.controllers + self.world.entries:
@@ -123,7 +123,7 @@
         await trio.sleep(0.01)
         self.world.elect()
         await trio.sleep(4)
-        await self.world.parts['e1'].put_routes(_document(experts))
+        await self.world.daemons['e1'].put_routes(_document(experts))
         for runner in self.runners.values():
             await self.send_heartbeat(runner)
         self.world.nursery.start_soon(self._send_heartbeats)
@@ -143,7 +143,7 @@
             with contextlib.suppress(errors.MountridgeError):
                 seq = round(trio.current_time() * 1000)
                 heartbeat = messages.Heartbeat(runner.instance(), seq)
-                await self.world.parts[name].heartbeat(heartbeat)
+                await self.world.daemons[name].heartbeat(heartbeat)
                 return
 
     async def restart(self, runner):
@@ -160,7 +160,7 @@
             body,
         )
         responder = answers.Responder()
-        await self.world.parts[name].forwarder.handle(request, responder)
+        await self.world.daemons[name].forwarder.handle(request, responder)
         now_s = trio.current_time()
         is_error = responder.status != 200
         error_body = json.loads(responder.body) if is_error else {}
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -94,7 +94,7 @@
     def on_ticket(self, peer, ticket: messages.Ticket) -> None:
         """Accept or refuse a ticket; the answer comes as frames."""
         now_s = self.app.now_s()
-        self.outbox.link(peer.route).ticket(ticket.seq, now_s)
+        self.outbox.link(peer.route).count_ticket(ticket.seq, now_s)
         attempt = Attempt(ticket, peer.route)
         try:
             self._admit(ticket, now_s)
@@ -118,7 +118,7 @@
         wait_s = min(ticket.queue_s, ticket.deadline_s)
         try:
             self.queue.push(
-                queues.Waiting(
+                queues.QueuedRequest(
                     ticket.attempt_id,
                     ticket.team,
                     ticket.priority,
@@ -232,7 +232,7 @@
                 problem = errors.RunnerFailed('the deadline passed')
             except errors.MountridgeError as failed:
                 problem = failed
-        self.queue.done(ticket.attempt_id, self.app.now_s())
+        self.queue.release_slot(ticket.attempt_id, self.app.now_s())
         if is_trial:
             self.backoff_state.end_probe()
         if attempt.scope.cancelled_caught:
@@ -282,9 +282,9 @@
         self.app.metrics.incr('rest.asked')
         rest_ms = round((self.backoff_state.until_s - now_s) * 1000)
         logger.info('runner asks for rest', rest_ms=rest_ms)
-        for item in self.queue.expired(math.inf):
+        for item in self.queue.pop_expired(math.inf):
             self._refuse(item.attempt_id, self._resting(now_s))
-        self.outbox.tell_all()
+        self.outbox.report_to_all()
 
     def _finish(self, attempt: Attempt, outcome: str) -> None:
         ticket = attempt.ticket
@@ -379,7 +379,7 @@
         """Refuse what waited too long, and send load reports."""
         while True:
             await trio.sleep(self.settings['report_s'])
-            for item in self.queue.expired(self.app.now_s()):
+            for item in self.queue.pop_expired(self.app.now_s()):
                 self._expire(item.attempt_id)
             self.outbox.report()
 
@@ -394,11 +394,11 @@
         for value in self.held.view.under('member/').values():
             member = views.unpack_member(value)
             if member.kind == 'gateway':
-                self.outbox.lose_earlier(member.name, member.incarnation)
+                self.outbox.remove_earlier(member.name, member.incarnation)
 
     def _expire(self, attempt_id: str) -> None:
         priority = self.attempts[attempt_id].ticket.priority
-        wait_s = self.queue.wait_s(priority)
+        wait_s = self.queue.expected_wait_s(priority)
         self._refuse(attempt_id, errors.Busy('time in queue is over', wait_s))
 
     def _refuse(
@@ -434,10 +434,10 @@
         """Take nothing new, and wait for what runs and waits to end."""
         self.draining = True
         # Gateways hear it from here too, should the controllers be away.
-        self.outbox.tell_all()
+        self.outbox.report_to_all()
         logger.info('draining', attempts=len(self.attempts))
         with trio.move_on_after(self.settings['drain_s']):
-            while self.attempts or self.outbox.waiting:
+            while self.attempts or self.outbox.has_pending:
                 await trio.sleep(0.05)
             await trio.sleep(2 * self.settings['merge_s'])
             try:
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -189,7 +189,7 @@
     ),
     Mutant(
         'a ticket of any age', 'tickets',
-        'if now_s - ticket.sent_s > STALE_S:', 'if False:', 'rules',
+        'if now_s - ticket.sent_s > MAX_AGE_S:', 'if False:', 'rules',
     ),
     Mutant(
         'a revocation that bars nothing', 'tickets',
@@ -218,7 +218,7 @@
     Mutant(
         'cut answers kept as whole', 'agent',
         'ended_well = attempt.last is not None and not attempt.last.code',
-        'ended_well = True', 'requests', 'not kept as',
+        'ended_well = True', 'requests', 'not stored as',
     ),
     Mutant(
         'answers too large kept as empty', 'statemachine',
@@ -232,16 +232,17 @@
     Mutant(
         'a cut passed off as an end', 'attempts',
         '        if self.problem:\n            raise self.problem\n', '',
-        'requests', 'Whole|Not run',
+        'requests', 'Complete|not run',
     ),
     Mutant(
         'losses that no one counts', 'links',
         'frames = load.frames_seq > expected', 'frames = False',
-        'requests', 'Whole',
+        'requests', 'Complete',
     ),
     Mutant(
         'lost tickets that no one counts', 'links',
-        'if now_s - sent_s > LATE_S', 'if False', 'requests', 'Whole',
+        'if now_s - sent_s > TICKET_TIMEOUT_S', 'if False', 'requests',
+        'Complete',
     ),
     Mutant(
         'work of a vanished caller goes on', 'dispatching',
@@ -283,7 +284,7 @@
     ),
     Mutant(
         'gateways with no lease', 'filters',
-        'if not held.valid(now_s):', 'if False:', 'configuration',
+        'if not lease.valid(now_s):', 'if False:', 'configuration',
     ),
     Mutant(
         'agents with no lease', 'agent',
@@ -302,7 +303,7 @@
     ),
     Mutant(
         'no slots kept for pings', 'queues',
-        'kept = 0 if priority == 0 else self.reserved', 'kept = 0',
+        'reserved = 0 if priority == 0 else self.reserved', 'reserved = 0',
         'rules',
     ),
     Mutant(
@@ -313,7 +314,7 @@
     ),
     Mutant(
         'one queue for all teams', 'queues',
-        'self._finish.get((priority, team), 0.0),', '0.0,',
+        'self._finish_tags.get((priority, team), 0.0),', '0.0,',
         'operations', 'large team',
     ),
     Mutant(
@@ -331,12 +332,13 @@
     ),
     Mutant(
         'retries with no budget', 'retries',
-        'if any(self._left.get(key, FLOOR) < 1 for key in keys):',
+        'if any(self._balances.get(key, INITIAL_BALANCE) < 1 '
+        'for key in keys):',
         'if False:', 'operations', 'Retries',
     ),
     Mutant(
         'no ejection', 'runners',
-        'now_s < state.ejected_until_s or slowness > SLOW', 'False',
+        'now_s < state.ejected_until_s or slowness > MAX_SLOWNESS', 'False',
         'rules',
     ),
     Mutant(
@@ -669,8 +671,8 @@
     ),
     Mutant(
         'rests: what waits at an agent waits on', 'agent',
-        'for item in self.queue.expired(math.inf):',
-        'for item in self.queue.expired(now_s):', 'rests', 'agent',
+        'for item in self.queue.pop_expired(math.inf):',
+        'for item in self.queue.pop_expired(now_s):', 'rests', 'agent',
     ),
     Mutant(
         'rests: an agent hears no word of leaving', 'agent',
