--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -796,7 +796,7 @@
     reply = context.entry.take(spelling, b'p-0', spelling.heartbeat, body)
     assert reply.status == 200, reply.body
     view = context.world.machine.view
-    packed = view.under(views.INSTANCE_PREFIX).values()
+    packed = view.by_prefix(views.INSTANCE_PREFIX).values()
     context.forgotten = context.known.follow(
         [views.unpack_instance(value) for value in packed]
     )
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -381,7 +381,7 @@
 
     def _follow_view(self, *_: typing.Any, **__: typing.Any) -> None:
         """Stop what was for gateways that have restarted since."""
-        for value in self.held.view.under('member/').values():
+        for value in self.held.view.by_prefix('member/').values():
             member = views.unpack_member(value)
             if member.kind == 'gateway':
                 self.outbox.lose_earlier(member.name, member.incarnation)
--- a/mountridge/dispatch/filters.py
+++ b/mountridge/dispatch/filters.py
@@ -40,7 +40,7 @@
             return
         self._revision = view.revision
         self._rows = {}
-        for packed in view.under('row/').values():
+        for packed in view.by_prefix('row/').values():
             row = views.unpack_row(packed)
             team = self._rows.setdefault(row.team, {})
             team.setdefault(row.service, []).append(row)
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -162,7 +162,7 @@
         self._follow_halls()
         self._follow_quarantine()
         self._follow_routes()
-        packed = view.under(views.INSTANCE_PREFIX)
+        packed = view.by_prefix(views.INSTANCE_PREFIX)
         registered = [views.unpack_instance(v) for v in packed.values()]
         gateways = self._all_gateways()
         self.backends.follow_gateways(
@@ -194,7 +194,7 @@
         )
 
     def _follow_halls(self) -> None:
-        packed = self.held.view.under(views.HALL_PREFIX)
+        packed = self.held.view.by_prefix(views.HALL_PREFIX)
         listed = [views.unpack_hall(value) for value in packed.values()]
         out = {state.name: state for state in listed if state.is_out}
         if not self.backends.follow_halls(set(out), self.app.now_s()):
@@ -210,7 +210,7 @@
         )
 
     def _follow_quarantine(self) -> None:
-        packed = self.held.view.under(views.QUARANTINE_PREFIX).values()
+        packed = self.held.view.by_prefix(views.QUARANTINE_PREFIX).values()
         listed = [views.unpack_held(value) for value in packed]
         self.crash_reports.follow(listed)
 
@@ -238,7 +238,7 @@
         )
 
     def _all_gateways(self) -> list[views.Member]:
-        packed = self.held.view.under('member/')
+        packed = self.held.view.by_prefix('member/')
         listed = [views.unpack_member(value) for value in packed.values()]
         return [member for member in listed if member.kind == 'gateway']
 
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -64,7 +64,7 @@
 
     def members(self) -> list[views.Member]:
         """Return the members that the view names."""
-        packed = self.held.view.under('member/')
+        packed = self.held.view.by_prefix('member/')
         return [views.unpack_member(value) for value in packed.values()]
 
     def renewal(self) -> messages.Renew:
--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -90,22 +90,24 @@
         """Make again what is kept unpacked beside the view."""
         self.rows_by_key = {
             key.partition('/')[2]: views.unpack_row(value)
-            for key, value in self.view.under('row/').items()
+            for key, value in self.view.by_prefix('row/').items()
         }
         self.members_by_name = {
             key.partition('/')[2]: views.unpack_member(value)
-            for key, value in self.view.under('member/').items()
+            for key, value in self.view.by_prefix('member/').items()
         }
         self.routes_version = self.routes().version
         self.instances = {
             key.partition('/')[2]: views.unpack_instance(value)
-            for key, value in self.view.under(views.INSTANCE_PREFIX).items()
+            for key, value in self.view.by_prefix(
+                views.INSTANCE_PREFIX
+            ).items()
         }
         self.halls = {
             key.partition('/')[2]: views.unpack_hall(value)
-            for key, value in self.view.under(views.HALL_PREFIX).items()
+            for key, value in self.view.by_prefix(views.HALL_PREFIX).items()
         }
-        packed = self.view.under(views.QUARANTINE_PREFIX).values()
+        packed = self.view.by_prefix(views.QUARANTINE_PREFIX).values()
         listed = [views.unpack_held(value) for value in packed]
         self.quarantine = {each.digest: each for each in listed}
 
--- a/mountridge/state/views.py
+++ b/mountridge/state/views.py
@@ -158,7 +158,7 @@
         self.index = index
         return True
 
-    def under(self, prefix: str) -> dict[str, bytes]:
+    def by_prefix(self, prefix: str) -> dict[str, bytes]:
         """Return values by key for the keys that begin with ``prefix``."""
         return {
             key: change.value
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1131,7 +1131,7 @@
     ),
     Mutant(
         'halls: a snapshot loses them', 'statemachine',
-        'self.view.under(views.HALL_PREFIX)', "self.view.under('-')",
+        'self.view.by_prefix(views.HALL_PREFIX)', "self.view.by_prefix('-')",
         'halls', 'state of halls',
     ),
     Mutant(
