--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -99,7 +99,7 @@
         self.replica.check_leader()
         view = self.machine.view
         self.leases.renew(peer.route, renew, view.index, now_s)
-        snapshot, changes = view.since(renew.index)
+        snapshot, changes = view.changes_since(renew.index)
         shares = []
         if renew.kind == 'gateway':
             shares = self.apportioner.grant(
@@ -200,7 +200,7 @@
         for name, holder in self.leases.holders.items():
             if holder.sent_index >= view.index:
                 continue
-            snapshot, changes = view.since(holder.sent_index)
+            snapshot, changes = view.changes_since(holder.sent_index)
             if snapshot:
                 continue
             pushed = messages.Changes(
--- a/mountridge/state/views.py
+++ b/mountridge/state/views.py
@@ -133,7 +133,7 @@
             oldest = next(iter(self.removed))
             self.horizon = self.removed.pop(oldest).index
 
-    def since(self, index: int) -> tuple[bool, list[messages.Change]]:
+    def changes_since(self, index: int) -> tuple[bool, list[messages.Change]]:
         """Return (is it a snapshot, changes) for a holder at ``index``.
 
         Entries stand in the order of their change, so that the walk from
