--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -211,7 +211,7 @@
 
     def _follow_quarantine(self) -> None:
         packed = self.held.view.by_prefix(views.QUARANTINE_PREFIX).values()
-        listed = [views.unpack_held(value) for value in packed]
+        listed = [views.unpack_quarantined(value) for value in packed]
         self.crash_reports.follow(listed)
 
     def _follow_routes(self) -> None:
--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -108,7 +108,7 @@
             for key, value in self.view.by_prefix(views.HALL_PREFIX).items()
         }
         packed = self.view.by_prefix(views.QUARANTINE_PREFIX).values()
-        listed = [views.unpack_held(value) for value in packed]
+        listed = [views.unpack_quarantined(value) for value in packed]
         self.quarantine = {each.digest: each for each in listed}
 
     def routes(self) -> messages.RoutesReply:
--- a/mountridge/state/views.py
+++ b/mountridge/state/views.py
@@ -25,7 +25,7 @@
     'pack',
     'routes_in',
     'unpack_hall',
-    'unpack_held',
+    'unpack_quarantined',
     'unpack_instance',
     'unpack_member',
     'unpack_row',
@@ -90,7 +90,7 @@
     return _HALL.decode(data)
 
 
-def unpack_held(data: bytes) -> quarantines.Held:
+def unpack_quarantined(data: bytes) -> quarantines.Held:
     """Return the request held back that ``data`` stands for."""
     return _HELD.decode(data)
 
