--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -223,7 +223,7 @@
     context.machine = statemachine.StateMachine()
     context.digests = [b'%016d' % number for number in range(count)]
     for index, digest in enumerate(context.digests):
-        command = commands.HoldRequest(digest, 2, float(index))
+        command = commands.QuarantineRequest(digest, 2, float(index))
         context.machine.apply(index + 1, command)
     for number in range(freed):
         digest = context.digests[-1 - number]
--- a/mountridge/control/quarantineoffice.py
+++ b/mountridge/control/quarantineoffice.py
@@ -119,7 +119,9 @@
             await self._hold(crash.digest, len(seen))
 
     async def _hold(self, digest: bytes, crashes: int) -> None:
-        command = commands.HoldRequest(digest, crashes, self.app.wall_s())
+        command = commands.QuarantineRequest(
+            digest, crashes, self.app.wall_s()
+        )
         held = await self._replica.propose(commands.encode(command))
         self.app.metrics.incr('quarantine.held')
         logger.info(
--- a/mountridge/state/commands.py
+++ b/mountridge/state/commands.py
@@ -17,7 +17,7 @@
 __all__ = [
     'Command',
     'ExpireClaims',
-    'HoldRequest',
+    'QuarantineRequest',
     'OpenClaim',
     'CloseClaim',
     'NextVersion',
@@ -101,7 +101,7 @@
     at_s: float
 
 
-class HoldRequest(typing.NamedTuple):
+class QuarantineRequest(typing.NamedTuple):
     """Hold back a request that has crashed ``crashes`` runners."""
 
     digest: bytes
@@ -113,7 +113,7 @@
     """Hold a request back no more; unless for a trial, forget it."""
 
     digest: bytes
-    is_trial: bool
+    is_probe: bool
     at_s: float
 
 
@@ -127,7 +127,7 @@
     | SetInstance
     | NextVersion
     | SetHall
-    | HoldRequest
+    | QuarantineRequest
     | ReleaseRequest
 )
 
@@ -141,7 +141,7 @@
     SetInstance,
     NextVersion,
     SetHall,
-    HoldRequest,
+    QuarantineRequest,
     ReleaseRequest,
 )
 _NUMBER = {kind: number for number, kind in enumerate(_KINDS)}
--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -355,7 +355,7 @@
 
 
 def _hold_request(
-    machine: StateMachine, index: int, command: commands.HoldRequest
+    machine: StateMachine, index: int, command: commands.QuarantineRequest
 ) -> quarantines.Held:
     """Hold a request back; past the bound the oldest ones are forgotten."""
     known = machine.quarantine.get(command.digest)
@@ -380,7 +380,7 @@
 ) -> quarantines.Held | None:
     """Let a request be tried once more, or forget that it was held back."""
     known = machine.quarantine.get(command.digest)
-    if known is None or not command.is_trial:
+    if known is None or not command.is_probe:
         _forget_held(machine, index, command.digest)
         return None
     released = known._replace(is_held=False, since_s=command.at_s)
@@ -435,7 +435,7 @@
     commands.SetInstance: _set_instance,
     commands.NextVersion: _next_version,
     commands.SetHall: _set_hall,
-    commands.HoldRequest: _hold_request,
+    commands.QuarantineRequest: _hold_request,
     commands.ReleaseRequest: _release_request,
 }
 
