--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -40,7 +40,7 @@
                 self.fell.append(key)
             self._seen[key] = held.view.index
             old = _version(held) != self.version
-            if self.in_force_s is not None and old and held.valid(now_s):
+            if self.in_force_s is not None and old and held.is_valid(now_s):
                 self.late.append((name, now_s))
         if self.in_force_s is None and self._all_new(now_s):
             self.in_force_s = now_s
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -587,7 +587,7 @@
                 if name in self.lost or not world.reached(name):
                     continue
                 made = world.entries[name]
-                if not made.held.valid(now_s):
+                if not made.held.is_valid(now_s):
                     self.unleased.add(name)
                 named = {a.partition(':')[0] for a in made.addresses()}
                 for other in named.difference(world.processes):
@@ -683,7 +683,7 @@
         world.start('south3')
         held = world.entries['south3'].held
         context.took_s = [
-            await world.until(lambda: held.valid(trio.current_time()))
+            await world.until(lambda: held.is_valid(trio.current_time()))
         ]
 
     play(context, script)
--- a/features/steps/operation_steps.py
+++ b/features/steps/operation_steps.py
@@ -48,7 +48,7 @@
     for name in world.gateways:
         part = world.parts[name]
         live = world.processes.get(name)
-        if live and part.held.valid(trio.current_time()):
+        if live and part.held.is_valid(trio.current_time()):
             listed = sorted(
                 m.name
                 for m in part.members()
--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -153,7 +153,7 @@
 @given('a holder that took a grant of term {term:d} at index {index:d}')
 def holder(context, term, index):
     context.held = leases.HeldLease()
-    assert context.held.take(_grant(term, index), 100.0)
+    assert context.held.apply_grant(_grant(term, index), 100.0)
     assert context.held.until_s == 103.0
     context.case = context.scenario.name.partition(' with ')[2]
 
@@ -162,7 +162,7 @@
 def not_taken(context):
     term, index = (2, 11) if 'term' in context.case else (3, 9)
     term = 4 if 'later leader' in context.case else term
-    assert not context.held.take(_grant(term, index), 101.0)
+    assert not context.held.apply_grant(_grant(term, index), 101.0)
     assert context.held.until_s == 103.0
     assert context.held.view.index == 10
 
@@ -176,14 +176,14 @@
     else:
         fence = messages.Fence(2, 12)
     pushed = messages.Changes(fence, since, 12, [])
-    assert not context.held.extend(pushed)
+    assert not context.held.apply_changes(pushed)
     assert context.held.view.index == 10
 
 
 @then('it counts it from when it was asked for')
 def counted_from_ask(context):
-    assert context.held.take(_grant(3, 11), 101.0)
-    assert context.held.valid(103.9) and not context.held.valid(104.0)
+    assert context.held.apply_grant(_grant(3, 11), 101.0)
+    assert context.held.is_valid(103.9) and not context.held.is_valid(104.0)
 
 
 @given('a queue of {slots:d} slots, {kept:d} kept for pings')
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -120,14 +120,14 @@
     context.held = leases.HeldLease()
     sent_s = context.app.now_s()
     grant = messages.Grant(3.0, messages.Fence(1, 1), 1, False, [], [], {})
-    assert context.held.take(grant, sent_s)
-    assert context.held.valid(context.app.now_s())
+    assert context.held.apply_grant(grant, sent_s)
+    assert context.held.is_valid(context.app.now_s())
     context.readings.suspend(4.0)
 
 
 @then('its lease is over')
 def check_over(context):
-    assert not context.held.valid(context.app.now_s())
+    assert not context.held.is_valid(context.app.now_s())
 
 
 @then('the gap is logged, counted and told to what asked for it')
--- a/features/worlds/core.py
+++ b/features/worlds/core.py
@@ -204,7 +204,7 @@
         there = [name for name in self.processes if self.reached(name)]
         now_s = trio.current_time()
         if not leader or not all(
-            self.entries[name].held.valid(now_s) for name in there
+            self.entries[name].held.is_valid(now_s) for name in there
         ):
             return False
         config = self.config()
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -81,7 +81,7 @@
 
     def _pushed(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
-            if self.held.extend(message):
+            if self.held.apply_changes(message):
                 self.keeper.nudge()
                 self._follow_view()
 
@@ -108,7 +108,7 @@
     def _admit(self, ticket: messages.Ticket, now_s: float) -> None:
         if self.draining:
             raise errors.Draining()
-        if not self.held.valid(now_s):
+        if not self.held.is_valid(now_s):
             raise errors.NoLease()
         if not self.backoff_state.may_send(now_s):
             raise self._resting(now_s)
@@ -360,7 +360,7 @@
 
     def _takes_nothing(self) -> bool:
         now_s = self.app.now_s()
-        is_willing = self.held.valid(now_s) and self.backoff_state.may_send(
+        is_willing = self.held.is_valid(now_s) and self.backoff_state.may_send(
             now_s
         )
         return self.draining or not is_willing
--- a/mountridge/dispatch/filters.py
+++ b/mountridge/dispatch/filters.py
@@ -73,7 +73,7 @@
     held: leases.HeldLease, exchange: exchanges.Exchange, now_s: float
 ) -> None:
     """Refuse while this gateway may act on an old table only."""
-    if not held.valid(now_s):
+    if not held.is_valid(now_s):
         raise errors.NoLease(retry_after_s=1.0)
 
 
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -126,7 +126,7 @@
 
     def _pushed(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
-            if self.held.extend(message):
+            if self.held.apply_changes(message):
                 self.keeper.nudge()
                 self.follow_view()
         elif isinstance(message, messages.Loads):
@@ -413,7 +413,7 @@
     def refer(self, peer, message: typing.Any) -> typing.NoReturn:
         """Answer what is for a controller: this is none, ask that one."""
         problem = errors.NotLeader()
-        if self.held.valid(self.app.now_s()):
+        if self.held.is_valid(self.app.now_s()):
             name, address = self.leader.current
             problem.leader, problem.leader_address = name, address
         raise problem
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -52,7 +52,7 @@
 
     def _pushed(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
-            if self.held.extend(message):
+            if self.held.apply_changes(message):
                 self.keeper.nudge()
                 self.follow_view()
 
--- a/mountridge/state/leases.py
+++ b/mountridge/state/leases.py
@@ -24,11 +24,11 @@
         self.view = views.View()
         self.shares: dict[str, messages.Share] = {}
 
-    def valid(self, now_s: float) -> bool:
+    def is_valid(self, now_s: float) -> bool:
         """Return whether new work may be taken at ``now_s``."""
         return now_s < self.until_s
 
-    def take(self, grant: messages.Grant, sent_s: float) -> bool:
+    def apply_grant(self, grant: messages.Grant, sent_s: float) -> bool:
         """Take a grant for the renewal sent at ``sent_s``.
 
         False where it comes from a leader of an earlier term or would take
@@ -43,7 +43,7 @@
         self.shares = {share.row: share for share in grant.shares}
         return True
 
-    def extend(self, pushed: messages.Changes) -> bool:
+    def apply_changes(self, pushed: messages.Changes) -> bool:
         """Take changes pushed between renewals, where they fit on."""
         if pushed.fence.term != self.fence.term:
             return False
--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -287,7 +287,7 @@
                 self._renewal(), self._settings['lease_s']
             )
             self._leader.learn(grant.controllers)
-            if self._held.take(grant, sent_s):
+            if self._held.apply_grant(grant, sent_s):
                 if grant.changes or grant.snapshot:
                     signals.view_changed.send(
                         self._held, changes=grant.changes
@@ -301,7 +301,7 @@
 
     def _tell(self) -> None:
         """Log and signal where the lease was gained or lost."""
-        valid = self._held.valid(self._app.now_s())
+        valid = self._held.is_valid(self._app.now_s())
         if valid == self._was_valid:
             return
         self._was_valid = valid
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -283,11 +283,11 @@
     ),
     Mutant(
         'gateways with no lease', 'filters',
-        'if not held.valid(now_s):', 'if False:', 'configuration',
+        'if not held.is_valid(now_s):', 'if False:', 'configuration',
     ),
     Mutant(
         'agents with no lease', 'agent',
-        'if not self.held.valid(now_s):', 'if False:', 'operations',
+        'if not self.held.is_valid(now_s):', 'if False:', 'operations',
         'hears no controller',
     ),
     Mutant(
