--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -163,7 +163,7 @@
     async def _lose_lapsed(self) -> None:
         """Note who holds no lease: lapsed, or never renewed here."""
         now_s = self.app.now_s()
-        for name in self.leases.lapsed(now_s):
+        for name in self.leases.remove_expired(now_s):
             rows = self.machine.rows_by_key
             self.apportioner.forget(name, rows, now_s)
         if now_s < self.leases.quiet_until_s:
@@ -210,7 +210,7 @@
                 changes,
             )
             if self.app.send(holder.route, pushed):
-                self.leases.sent(name, view.index)
+                self.leases.record_sent(name, view.index)
 
     async def tell_loads(self) -> None:
         """Tell gateways what sidecars have reported, while leading."""
@@ -243,7 +243,7 @@
         ranked: dict[tuple[bool, bool], list[str]] = {}
         for name, holder in sorted(self.leases.holders.items()):
             if holder.renew.kind == 'gateway' and not holder.renew.leaving:
-                is_late = not self.leases.heard_of_late(name, late_s, now_s)
+                is_late = not self.leases.renewed_recently(name, late_s, now_s)
                 rank = (is_late, name in controllers)
                 ranked.setdefault(rank, []).append(name)
         if not ranked:
--- a/mountridge/state/leases.py
+++ b/mountridge/state/leases.py
@@ -106,12 +106,14 @@
         self.holders[renew.name] = holder
         return holder
 
-    def heard_of_late(self, name: str, within_s: float, now_s: float) -> bool:
+    def renewed_recently(
+        self, name: str, within_s: float, now_s: float
+    ) -> bool:
         """Return whether a holder has renewed within ``within_s``."""
         renewed_s = self.holders[name].until_s - self.lease_s
         return now_s - renewed_s <= within_s
 
-    def sent(self, name: str, index: int) -> None:
+    def record_sent(self, name: str, index: int) -> None:
         """Note that changes up to ``index`` are on their way."""
         holder = self.holders[name]
         self.holders[name] = holder._replace(sent_index=index)
@@ -144,7 +146,7 @@
         ]
         return min(live + [index])
 
-    def lapsed(self, now_s: float) -> list[str]:
+    def remove_expired(self, now_s: float) -> list[str]:
         """Return and forget the holders whose lease has run out."""
         self._earlier = [e for e in self._earlier if e[1].until_s > now_s]
         names = [
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1108,7 +1108,7 @@
     ),
     Mutant(
         'losses: orders go to boxes of a hall that is cut off', 'controller',
-        'is_late = not self.leases.heard_of_late(name, late_s, now_s)',
+        'is_late = not self.leases.renewed_recently(name, late_s, now_s)',
         'is_late = False', 'losses', 'Orders to ranks',
     ),
     Mutant(
