--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -300,7 +300,7 @@
             each.ends = [e for e in each.ends if e > now_s]
         for other, until_s in list(seen.items()):
             if until_s <= now_s:
-                leader.forget(other, {KEY: ROW}, now_s)
+                leader.remove_gateway(other, {KEY: ROW}, now_s)
                 del seen[other]
         if action in ('renew', 'renew, lost'):
             granted = leader.grant(
@@ -366,7 +366,7 @@
     want = [messages.Share(KEY, 10, 10.0)]
     given_ = leader.grant('g1', want, [], rows, 1.0)
     assert given_[0].concurrency == 10
-    leader.forget('g1', rows, 4.0)
+    leader.remove_gateway('g1', rows, 4.0)
     assert leader.grant('g2', want, [], rows, 4.0 + 4.9) == [
         messages.Share(KEY, 0, 100.0)
     ]
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -165,7 +165,7 @@
         now_s = self.app.now_s()
         for name in self.leases.remove_expired(now_s):
             rows = self.machine.rows_by_key
-            self.apportioner.forget(name, rows, now_s)
+            self.apportioner.remove_gateway(name, rows, now_s)
         if now_s < self.leases.quiet_until_s:
             return
         # At once: one by one, those of a whole hall would take a sync each.
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -125,7 +125,7 @@
         )
         with trio.move_on_after(patience_s):
             while not self.limiter.has_share(key, self.held.shares):
-                self.limiter.want(key, self.app.now_s())
+                self.limiter.record_waiting(key, self.app.now_s())
                 await self.keeper.hurry()
         self.limiter.admit(key, self.held.shares.get(key), self.app.now_s())
         exchange.cleanups.append(lambda: self.limiter.release(key))
--- a/mountridge/state/limits.py
+++ b/mountridge/state/limits.py
@@ -44,7 +44,7 @@
         """Return whether requests of row ``key`` can be begun here."""
         return key in shares and shares[key].concurrency > 0
 
-    def want(self, key: str, now_s: float) -> None:
+    def record_waiting(self, key: str, now_s: float) -> None:
         """Count a request that waits for a share of row ``key``."""
         usage = self.usage.setdefault(key, Usage(now_s))
         usage.used_s = now_s
@@ -135,7 +135,7 @@
         #: row -> (until when, concurrency) of holders that lapsed.
         self._lapsed: dict[str, list[tuple[float, float]]] = {}
 
-    def forget(
+    def remove_gateway(
         self,
         gateway: str,
         rows: typing.Mapping[str, tables.Row],
