--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -136,12 +136,12 @@
 def first_end(context):
     kept = context.claims
     key = _claim().key
-    kept.lose('agent', 'i2')
+    kept.mark_unknown('agent', 'i2')
     assert kept.records[key].outcome == errors.UNKNOWN
     _end(context, errors.RAN)
     assert kept.records[key].outcome == errors.RAN
     _end(context, errors.NOT_RUN)
-    kept.lose('agent', 'i3')
+    kept.mark_unknown('agent', 'i3')
     assert kept.records[key].outcome == errors.RAN
 
 
--- a/mountridge/state/claims.py
+++ b/mountridge/state/claims.py
@@ -88,7 +88,7 @@
             answer=outcome.answer,
         )
 
-    def lose(self, agent: str, incarnation: str) -> None:
+    def mark_unknown(self, agent: str, incarnation: str) -> None:
         """An agent came back as ``incarnation``: older claims are unknown."""
         for key, record in self.records.items():
             claim = record.claim
--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -218,7 +218,7 @@
     else:
         machine.view.set(index, key, views.pack(member))
         machine.members_by_name[member.name] = member
-        machine.claims.lose(member.name, member.incarnation)
+        machine.claims.mark_unknown(member.name, member.incarnation)
     return member
 
 
