--- a/mountridge/control/registry.py
+++ b/mountridge/control/registry.py
@@ -74,7 +74,7 @@
         known = self._known(given)
         self._check_named(given, known)
         others = self.machine.other_instances(given)
-        order = lives.judge(given, known, others)
+        order = lives.classify(given, known, others)
         if isinstance(order, lives.Refusal):
             return self._refuse(given, known, order)
         key = given.instance_id
@@ -95,7 +95,7 @@
         """Take a word that changes nothing, as nearly all do."""
         given = heartbeat.instance
         known = self.machine.instances.get(given.instance_id)
-        if known is None or not lives.says_same(given, known):
+        if known is None or not lives.is_unchanged(given, known):
             return False
         life = (given.instance_id, given.born_ms)
         if heartbeat.seq < max(known.seq, self._newest_seq.get(life, 0)):
@@ -207,7 +207,7 @@
         self.replica.check_leader()
         known = self.machine.instances.get(leave.instance_id)
         now_ms = round(self.app.wall_s() * 1000)
-        refusal = lives.judge_leave(leave.born_ms, leave.lives, known, now_ms)
+        refusal = lives.check_leave(leave.born_ms, leave.lives, known, now_ms)
         # It may have left before any heartbeat of it came.
         ended = known or instances.Instance(
             leave.instance_id, '', '', '', '', 0, instances.LEFT
@@ -239,7 +239,7 @@
         """
         now_s = self.app.now_s()
         for key, instance in list(self.machine.instances.items()):
-            if lives.is_over(instance):
+            if lives.has_ended(instance):
                 self._heard_s.pop(key, None)
                 if not instance.may_return:
                     self._newest_seq.pop((key, instance.born_ms), None)
--- a/mountridge/state/lives.py
+++ b/mountridge/state/lives.py
@@ -21,8 +21,8 @@
 from mountridge.documents import instances
 
 __all__ = [
-    'LATE_S', 'Order', 'Refusal', 'hold', 'is_over', 'judge', 'judge_leave',
-    'says_same',
+    'LATE_S', 'Order', 'Refusal', 'check_leave', 'classify', 'has_ended',
+    'is_unchanged', 'updated',
 ]  # fmt: skip
 
 #: Longest that a word is under way: its sender gives a call up after a
@@ -53,17 +53,17 @@
     BACK = enum.auto()  # of a life that was taken as over
 
 
-def is_over(instance: instances.Instance) -> bool:
+def has_ended(instance: instances.Instance) -> bool:
     """Return whether a registration is over."""
     return instance.state == instances.LEFT
 
 
-def says_same(given: instances.Instance, known: instances.Instance) -> bool:
+def is_unchanged(given: instances.Instance, known: instances.Instance) -> bool:
     """Return whether a word tells nothing that is not held."""
     return given[:_TOLD_FIELDS] == known[:_TOLD_FIELDS]
 
 
-def judge(
+def classify(
     given: instances.Instance,
     known: instances.Instance | None,
     others: typing.Iterable[instances.Instance],
@@ -104,7 +104,7 @@
     given: instances.Instance, known: instances.Instance
 ) -> Order | Refusal:
     """Order a word that tells a start after a life that told none."""
-    if not is_over(known) or given.born_ms > known.since_ms:
+    if not has_ended(known) or given.born_ms > known.since_ms:
         return Order.NEWER
     return _order_within(given, known)
 
@@ -113,11 +113,11 @@
     given: instances.Instance, known: instances.Instance
 ) -> Order | Refusal:
     """Order two words of one life by their counts."""
-    if is_over(known) and not known.may_return:
+    if has_ended(known) and not known.may_return:
         return Refusal.LEFT
     if given.seq < known.seq:
         return Refusal.OLDER_COUNT
-    if is_over(known):
+    if has_ended(known):
         return Order.BACK
     place = (given.service, given.address, given.hall)
     if place != (known.service, known.address, known.hall):
@@ -132,12 +132,12 @@
     if other.born_ms and given.born_ms:
         # Also one that is over: a later start there has ended this one.
         return other.born_ms < given.born_ms
-    if is_over(other):
+    if has_ended(other):
         return True
     return order is Order.NEWER and not other.born_ms
 
 
-def judge_leave(
+def check_leave(
     born_ms: int, lives: int, known: instances.Instance | None, now_ms: int
 ) -> Refusal | None:
     """Return why a leave ends nothing; None where it ends what is held.
@@ -147,7 +147,7 @@
     and comes soon after a restart may be of the life before; a runner that
     has said that it drains is meant itself.
     """
-    if known is None or (is_over(known) and not known.may_return):
+    if known is None or (has_ended(known) and not known.may_return):
         return None
     if born_ms and known.born_ms:
         return Refusal.OLDER_LIFE if born_ms < known.born_ms else None
@@ -159,7 +159,7 @@
     return None
 
 
-def hold(
+def updated(
     given: instances.Instance,
     known: instances.Instance | None,
     order: Order,
--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -266,15 +266,15 @@
     """
     given, now_ms = command.instance, round(command.at_s * 1000)
     known = machine.instances.get(given.instance_id)
-    if lives.is_over(given):
+    if lives.has_ended(given):
         _end_instance(machine, index, given, known, now_ms)
         return messages.Registered()
-    order = lives.judge(given, known, machine.other_instances(given))
+    order = lives.classify(given, known, machine.other_instances(given))
     if isinstance(order, lives.Refusal):
         return messages.Registered()
     if order is not lives.Order.SAME:
         _end_at_address(machine, index, given, now_ms)
-    held = lives.hold(given, known, order, now_ms)
+    held = lives.updated(given, known, order, now_ms)
     _hold_instance(machine, index, held)
     return messages.Registered()
 
@@ -288,7 +288,7 @@
 ) -> None:
     """End a life, but for a later one and one that has said its end."""
     if known is not None:
-        is_final = lives.is_over(known) and not known.may_return
+        is_final = lives.has_ended(known) and not known.may_return
         if is_final and given.born_ms <= known.born_ms:
             return
         if given.lives not in (0, known.lives):
@@ -311,7 +311,7 @@
 ) -> None:
     """End the runners that a new one at their address replaces."""
     for other in list(machine.other_instances(given)):
-        if other.address == given.address and not lives.is_over(other):
+        if other.address == given.address and not lives.has_ended(other):
             ended = other._replace(
                 state=instances.LEFT, since_ms=now_ms, may_return=True
             )
@@ -349,7 +349,7 @@
     They may have started anew while nothing was sent to them.
     """
     for instance in list(machine.instances.values()):
-        if instance.hall == hall and not lives.is_over(instance):
+        if instance.hall == hall and not lives.has_ended(instance):
             cold = instance._replace(is_cold=True)
             _hold_instance(machine, index, cold)
 
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -409,7 +409,8 @@
     ),
     Mutant(
         'entry: left runners come back', 'lives',
-        'if is_over(known) and not known.may_return:\n        return Refusal',
+        'if has_ended(known) and not known.may_return:\n'
+        '        return Refusal',
         'if False:\n        return Refusal', 'entry', 'runner that left',
     ),
     Mutant(
@@ -818,7 +819,7 @@
     ),
     Mutant(
         'lives: a start from before the leave', 'lives',
-        'if not is_over(known) or given.born_ms > known.since_ms:',
+        'if not has_ended(known) or given.born_ms > known.since_ms:',
         'if True:', 'lives',
     ),
     Mutant(
@@ -829,7 +830,8 @@
     Mutant(
         'lives: a later runner that left is forgotten', 'lives',
         'if other.born_ms and given.born_ms:',
-        'if other.born_ms and given.born_ms and not is_over(other):', 'lives',
+        'if other.born_ms and given.born_ms and not has_ended(other):',
+        'lives',
     ),
     Mutant(
         'lives: who is back takes its address', 'lives',
