--- a/bench/control.py
+++ b/bench/control.py
@@ -68,7 +68,9 @@
 # Commits.
 
 
-async def _commit(leader: members.Leader, number: int, took: list[float]):
+async def _commit(
+    leader: members.LeaderClient, number: int, took: list[float]
+):
     key = f't/s/{time.time():.0f}-{time.perf_counter_ns()}'
     claim = messages.Claim(key, 'd', 'r', f'a{number}', 'agent', 'i')
     begun_s = time.perf_counter()
@@ -77,7 +79,7 @@
 
 
 async def _flight(app, count: int) -> tuple[float, list[float]]:
-    leader = members.Leader(app)
+    leader = members.LeaderClient(app)
     took: list[float] = []
     await _commit(leader, 0, [])
     begun_s = time.perf_counter()
@@ -127,7 +129,7 @@
 
 
 async def _until_commit(app) -> float:
-    leader = members.Leader(app)
+    leader = members.LeaderClient(app)
     begun_s = time.perf_counter()
     while True:
         try:
@@ -201,7 +203,7 @@
     listed = [Subscriber(app, n, address) for n in range(count)]
     for each in listed:
         app.start_task(each.run)
-    leader = members.Leader(app)
+    leader = members.LeaderClient(app)
     reply = await leader.call(messages.Table(), 5)
     await trio.sleep(6)
     pid = made.processes['c1'].pid
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -391,7 +391,7 @@
 @when('{count:d} calls begin 0.1 s apart')
 def staggered_calls(context, count):
     async def main():
-        leader = members.Leader(context.app)
+        leader = members.LeaderClient(context.app)
         context.took_s = []
 
         async def call():
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -68,7 +68,7 @@
 def call_meanwhile(context):
     async def main():
         app = _Silent(trio.current_time() + context.silent_s)
-        leader = members.Leader(app)
+        leader = members.LeaderClient(app)
         with trio.move_on_after(context.silent_s):
             while True:
                 try:
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -125,7 +125,7 @@
     async def main():
         async with trio.open_nursery() as nursery:
             context.app.nursery = nursery
-            leader = members.Leader(context.app)
+            leader = members.LeaderClient(context.app)
             if context.knows:
                 leader.follow(context.app.leads)
             began_s = trio.current_time()
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -60,7 +60,7 @@
         self.app = app
         self.settings = app.settings['agent']
         self.held = leases.HeldLease()
-        self.leader = members.Leader(app, self._pushed)
+        self.leader = members.LeaderClient(app, self._pushed)
         self.keeper = members.LeaseKeeper(
             app, self.leader, self.held, self.renewal
         )
--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -130,7 +130,7 @@
     """Show the decisions about a request, or the newest, with reasons."""
 
     async def work(app: application.Application) -> list[dict]:
-        state = await members.Leader(app).call(
+        state = await members.LeaderClient(app).call(
             messages.Members(), clitools.CALL_S
         )
         found: list[dict] = []
--- a/mountridge/clitable.py
+++ b/mountridge/clitable.py
@@ -64,7 +64,7 @@
     click.echo('\n'.join(lines) if lines else 'no changes')
 
 
-async def _wait_in_force(leader: members.Leader, index: int) -> None:
+async def _wait_in_force(leader: members.LeaderClient, index: int) -> None:
     while True:
         reply = await leader.call(messages.Table(), clitools.CALL_S)
         if reply.in_force_index >= index:
@@ -98,7 +98,7 @@
     click.echo(f'operation {message.operation_id}', err=True)
 
     async def work(app: application.Application) -> messages.PutReply:
-        leader = members.Leader(app)
+        leader = members.LeaderClient(app)
         reply = await leader.call(message, clitools.CALL_S)
         if wait and reply.accepted:
             await _wait_in_force(leader, reply.index)
--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -124,7 +124,7 @@
     """Return the reply of the controller that leads, or end with its error."""
 
     async def work(app: application.Application) -> typing.Any:
-        return await members.Leader(app).call(message, CALL_S)
+        return await members.LeaderClient(app).call(message, CALL_S)
 
     return operate(path, work)
 
--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -149,7 +149,7 @@
         self,
         app: application.Application,
         replica: replicas.Replica,
-        leader: members.Leader,
+        leader: members.LeaderClient,
     ):
         self.app = app
         self.replica = replica
--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -35,7 +35,7 @@
         self,
         app: application.Application,
         held: leases.HeldLease,
-        leader: members.Leader,
+        leader: members.LeaderClient,
         log: decisions.DecisionLog,
     ):
         self.app = app
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -60,7 +60,7 @@
         self._connect = connect
         self.settings = app.settings['entry']
         self.held = leases.HeldLease()
-        self.leader = members.Leader(app, self._pushed)
+        self.leader = members.LeaderClient(app, self._pushed)
         self.keeper = members.LeaseKeeper(
             app, self.leader, self.held, self._renewal
         )
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -33,7 +33,7 @@
         self.app = app
         self.settings = app.settings['gateway']
         self.held = leases.HeldLease()
-        self.leader = members.Leader(app, self._pushed)
+        self.leader = members.LeaderClient(app, self._pushed)
         self.keeper = members.LeaseKeeper(
             app, self.leader, self.held, self.renewal
         )
--- a/mountridge/sidecar.py
+++ b/mountridge/sidecar.py
@@ -120,7 +120,7 @@
     def __init__(self, app: application.Application, engine: Engine):
         self.app = app
         self.engine = engine
-        self.leader = members.Leader(app, self.take_push)
+        self.leader = members.LeaderClient(app, self.take_push)
         self._usual_s = app.settings['sidecar']['report_s']
         self._report_s = self._usual_s
         self._instance_id = ''
--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -11,7 +11,7 @@
 from mountridge.net import sockets
 from mountridge.state import leases
 
-__all__ = ['Leader', 'LeaseKeeper', 'by_name', 'seed_addresses']
+__all__ = ['LeaderClient', 'LeaseKeeper', 'by_name', 'seed_addresses']
 
 #: A leader answers well within this; past it others are asked who leads,
 #: while the call goes on waiting. Twice the slowest usual commit.
@@ -47,7 +47,7 @@
     }
 
 
-class Leader:
+class LeaderClient:
     """Calls to whichever controller leads, over one connection to each.
 
     The addresses to ask are those of the settings (controllers, or seeds
@@ -244,7 +244,7 @@
     def __init__(
         self,
         app: application.Application,
-        leader: Leader,
+        leader: LeaderClient,
         held: leases.HeldLease,
         renewal: typing.Callable[[], messages.Renew],
     ):
