--- a/bench/control.py
+++ b/bench/control.py
@@ -186,10 +186,10 @@
                 self.received_bytes += len(messages.encode(grant))
             except errors.MountridgeError:
                 pass
-            # As `members.LeaseKeeper` does.
+            # As `members.LeaseRenewer` does.
             self.nudged = trio.Event()
-            await trio.sleep(members.HURRY_S)
-            with trio.move_on_after(0.75 - members.HURRY_S):
+            await trio.sleep(members.MIN_RENEWAL_S)
+            with trio.move_on_after(0.75 - members.MIN_RENEWAL_S):
                 await self.nudged.wait()
 
 
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -61,7 +61,7 @@
         self.settings = app.settings['agent']
         self.held = leases.HeldLease()
         self.leader = members.LeaderClient(app, self._pushed)
-        self.keeper = members.LeaseKeeper(
+        self.keeper = members.LeaseRenewer(
             app, self.leader, self.held, self.renewal
         )
         self.tickets = tickets.TicketLog(app.incarnation)
@@ -82,7 +82,7 @@
     def _pushed(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
             if self.held.apply_changes(message):
-                self.keeper.nudge()
+                self.keeper.wake()
                 self._follow_view()
 
     def on_greet(self, peer, message: messages.Greet) -> messages.Load:
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -61,7 +61,7 @@
         self.settings = app.settings['entry']
         self.held = leases.HeldLease()
         self.leader = members.LeaderClient(app, self._pushed)
-        self.keeper = members.LeaseKeeper(
+        self.keeper = members.LeaseRenewer(
             app, self.leader, self.held, self._renewal
         )
         bounds = app.settings['bounds']
@@ -127,7 +127,7 @@
     def _pushed(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
             if self.held.apply_changes(message):
-                self.keeper.nudge()
+                self.keeper.wake()
                 self.follow_view()
         elif isinstance(message, messages.Loads):
             now_s = self.app.now_s()
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -34,7 +34,7 @@
         self.settings = app.settings['gateway']
         self.held = leases.HeldLease()
         self.leader = members.LeaderClient(app, self._pushed)
-        self.keeper = members.LeaseKeeper(
+        self.keeper = members.LeaseRenewer(
             app, self.leader, self.held, self.renewal
         )
         self.limiter = limits.Limiter()
@@ -53,7 +53,7 @@
     def _pushed(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
             if self.held.apply_changes(message):
-                self.keeper.nudge()
+                self.keeper.wake()
                 self.follow_view()
 
     def follow_view(self, *_: typing.Any, **__: typing.Any) -> None:
@@ -126,7 +126,7 @@
         with trio.move_on_after(patience_s):
             while not self.limiter.has_share(key, self.held.shares):
                 self.limiter.record_waiting(key, self.app.now_s())
-                await self.keeper.hurry()
+                await self.keeper.renew_now()
         self.limiter.admit(key, self.held.shares.get(key), self.app.now_s())
         exchange.cleanups.append(lambda: self.limiter.release(key))
 
--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -11,7 +11,7 @@
 from mountridge.net import sockets
 from mountridge.state import leases
 
-__all__ = ['LeaderClient', 'LeaseKeeper', 'by_name', 'seed_addresses']
+__all__ = ['LeaderClient', 'LeaseRenewer', 'by_name', 'seed_addresses']
 
 #: A leader answers well within this; past it others are asked who leads,
 #: while the call goes on waiting. Twice the slowest usual commit.
@@ -26,7 +26,7 @@
 #: answer while it can't tell, so this bounds only what it can't.
 PAUSE_S = 0.05
 #: Least time between two renewals, also where someone hurries.
-HURRY_S = 0.05
+MIN_RENEWAL_S = 0.05
 
 
 def seed_addresses(settings: dict) -> list[str]:
@@ -238,7 +238,7 @@
             self._callers.pop(address).close()
 
 
-class LeaseKeeper:
+class LeaseRenewer:
     """Renews a lease for ever and brings its view up to date."""
 
     def __init__(
@@ -257,7 +257,7 @@
         self._renewed = trio.Event()
         self._was_valid = False
         # What is held may be out of date; a timer would renew it late.
-        app.on_gap.append(lambda gap_s: self.nudge())
+        app.on_gap.append(lambda gap_s: self.wake())
 
     async def run(self) -> None:
         """Renew at each interval, or sooner where someone hurries."""
@@ -266,16 +266,16 @@
             await self._renew()
             self._renewed.set()
             self._renewed = trio.Event()
-            await trio.sleep(HURRY_S)
-            rest_s = self._settings['renew_s'] - HURRY_S
+            await trio.sleep(MIN_RENEWAL_S)
+            rest_s = self._settings['renew_s'] - MIN_RENEWAL_S
             with trio.move_on_after(rest_s):
                 await self._hurry.wait()
 
-    def nudge(self) -> None:
+    def wake(self) -> None:
         """Acknowledge pushed changes with a renewal of their own, soon."""
         self._hurry.set()
 
-    async def hurry(self) -> None:
+    async def renew_now(self) -> None:
         """Renew as soon as may be, and return when that is done."""
         self._hurry.set()
         await self._renewed.wait()
