--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -211,7 +211,7 @@
             self.app.settings['hall'],
         )
         while True:
-            self.leader.learn(self.controllers())
+            self.leader.update_controllers(self.controllers())
             if node.role != consensus.LEADER:
                 try:
                     await self.leader.call(join, REJOIN_S)
@@ -222,7 +222,7 @@
 
     def controllers(self) -> dict[str, str]:
         """Return the controllers that this one knows, by name."""
-        return members.by_name(self.replica.node.config.addresses())
+        return members.addresses_by_name(self.replica.node.config.addresses())
 
     async def tell_seeds(self) -> None:
         """While leading, tell the seeds who the controllers are."""
--- a/mountridge/control/leadership.py
+++ b/mountridge/control/leadership.py
@@ -13,7 +13,7 @@
 
 __all__ = ['Leadership']
 
-#: How long an answer is held; below `members.CALL_S`, for which those that
+#: How long an answer is held; below `members.ATTEMPT_S`, for which those that
 #: ask wait.
 HOLD_S = 0.3
 
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -116,7 +116,7 @@
             snapshot,
             changes,
             shares,
-            members.by_name(self.replica.node.config.addresses()),
+            members.addresses_by_name(self.replica.node.config.addresses()),
         )
 
     def _check_name(self, peer, name: str) -> None:
@@ -237,7 +237,9 @@
         cut off none does. Of these those that are no controllers, in turn,
         so that the loss of the one that gives it costs no election.
         """
-        controllers = members.by_name(self.replica.node.config.addresses())
+        controllers = members.addresses_by_name(
+            self.replica.node.config.addresses()
+        )
         now_s = self.app.now_s()
         late_s = LATE_RENEWALS * self.app.settings['lease']['renew_s']
         ranked: dict[tuple[bool, bool], list[str]] = {}
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -343,7 +343,7 @@
 
     def follow_settings(self, settings: dict) -> None:
         """Take what newer settings may change in a running process."""
-        self.leader.follow_seeds(settings)
+        self.leader.update_seeds(settings)
         self.hall_orders.follow_settings(settings)
 
     # Life.
@@ -408,7 +408,7 @@
 
     def learn(self, peer, message: messages.Controllers) -> None:
         """Take from the leader who the controllers are."""
-        self.leader.learn(message.addresses)
+        self.leader.update_controllers(message.addresses)
 
     def refer(self, peer, message: typing.Any) -> typing.NoReturn:
         """Answer what is for a controller: this is none, ask that one."""
--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -11,14 +11,19 @@
 from mountridge.net import sockets
 from mountridge.state import leases
 
-__all__ = ['LeaderClient', 'LeaseRenewer', 'by_name', 'seed_addresses']
+__all__ = [
+    'LeaderClient',
+    'LeaseRenewer',
+    'addresses_by_name',
+    'seed_addresses',
+]
 
 #: A leader answers well within this; past it others are asked who leads,
 #: while the call goes on waiting. Twice the slowest usual commit.
 LATE_S = 0.2
 #: A call that has no answer by then is sent again, to whoever leads; what a
 #: connection loses is not told. It waits twice as long each time.
-CALL_S = 0.4
+ATTEMPT_S = 0.4
 #: A controller that gave no answer is passed over for this long, or until
 #: anything is heard of it.
 SILENT_S = 2.0
@@ -39,7 +44,7 @@
     return [f'tcp://{host}:{port}' for host in hosts]
 
 
-def by_name(addresses: dict[str, str]) -> dict[str, str]:
+def addresses_by_name(addresses: dict[str, str]) -> dict[str, str]:
     """Return controllers' addresses by name, of those by identity."""
     return {
         node_id.partition('.')[0]: address
@@ -61,7 +66,7 @@
         #: Name of the process behind each address; '' for a seed.
         self._names = {configured[name]: name for name in sorted(configured)}
         self.seeds: list[str] = []
-        self.follow_seeds(app.settings)
+        self.update_seeds(app.settings)
         self._callers: dict[str, sockets.Caller] = {}
         self._current = next(iter(self._names))
         self._silent_until_s: dict[str, float] = {}
@@ -75,13 +80,13 @@
         """Name and address of the controller that is asked first."""
         return self._names.get(self._current, ''), self._current
 
-    def follow_seeds(self, settings: dict) -> None:
+    def update_seeds(self, settings: dict) -> None:
         """Ask the seeds of newer settings too."""
         self.seeds = seed_addresses(settings)
         for address in self.seeds:
             self._names.setdefault(address, '')
 
-    def learn(self, controllers: dict[str, str]) -> None:
+    def update_controllers(self, controllers: dict[str, str]) -> None:
         """Take the controllers that the leader names, and forget others."""
         if not controllers:
             return
@@ -133,7 +138,7 @@
             message may have been acted on all the same.
         """
         problem = errors.NoController()
-        wait_s = min(CALL_S, timeout_s)
+        wait_s = min(ATTEMPT_S, timeout_s)
         tried: set[str] = set()
         with trio.move_on_after(timeout_s):
             while True:
@@ -213,7 +218,7 @@
         question = messages.WhoLeads(besides)
         while True:
             try:
-                await self._caller(address).call(question, CALL_S)
+                await self._caller(address).call(question, ATTEMPT_S)
                 break
             except errors.MountridgeError as problem:
                 logger.debug(
@@ -286,7 +291,7 @@
             grant = await self._leader.call(
                 self._renewal(), self._settings['lease_s']
             )
-            self._leader.learn(grant.controllers)
+            self._leader.update_controllers(grant.controllers)
             if self._held.apply_grant(grant, sent_s):
                 if grant.changes or grant.snapshot:
                     signals.view_changed.send(
