--- a/mountridge/state/__init__.py
+++ b/mountridge/state/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What the log decides, and the leases that spread it."""
+"""The replicated state, and the leases by which it is distributed."""
--- a/mountridge/state/commands.py
+++ b/mountridge/state/commands.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands of the replicated log: typed, and encoded as entries.
+"""Commands of the replicated log, and their encoding as log entries.
 
-``at_s`` is the wall clock of the leader that proposed the command; the
-state machine never lets it run backwards.
+``at_s`` is the wall-clock time of the leader that proposed the command; the
+state machine keeps its own clock from going backwards.
 """
 
 import typing
@@ -33,7 +33,7 @@
 
 
 class PutTable(typing.NamedTuple):
-    """Replace the table by ``rows`` where the base version still holds."""
+    """Replace the table by ``rows`` if it is still at the base version."""
 
     operation_id: str
     base_version: int
@@ -43,36 +43,36 @@
 
 
 class SetMember(typing.NamedTuple):
-    """A gateway or agent is live, leaving or gone."""
+    """Set the state of a gateway or agent: live, leaving or gone."""
 
     member: views.Member
     at_s: float
 
 
 class OpenClaim(typing.NamedTuple):
-    """One attempt asks to be the only one for its key."""
+    """Claim a key for one attempt."""
 
     claim: messages.Claim
-    key_s: float  # the time that the key carries
+    key_s: float  # time in the key, seconds since 1970
     at_s: float
 
 
 class CloseClaim(typing.NamedTuple):
-    """A claimed attempt has ended."""
+    """Record the outcome of a claimed attempt."""
 
     outcome: messages.Outcome
     at_s: float
 
 
 class ExpireClaims(typing.NamedTuple):
-    """Forget claims whose keys are refused by their age from now on."""
+    """Remove the claims on keys older than ``keep_s``; they are refused."""
 
     keep_s: float
     at_s: float
 
 
 class PutRoutes(typing.NamedTuple):
-    """Hold a routes document where its version is above the one held."""
+    """Store a routes document if its version is above the stored one."""
 
     version: int
     source: bytes
@@ -80,20 +80,20 @@
 
 
 class SetInstance(typing.NamedTuple):
-    """A runner's registration is new, changed, or over."""
+    """Create, change or end the registration of a runner."""
 
     instance: instances.Instance
     at_s: float
 
 
 class NextVersion(typing.NamedTuple):
-    """Give out a number that was never given out before."""
+    """Allocate a number that was never allocated before."""
 
     at_s: float
 
 
 class SetHall(typing.NamedTuple):
-    """A hall is out of service, or back, where its revision still holds."""
+    """Take a hall out of service or back, if it is at ``revision``."""
 
     hall: str
     is_out: bool
@@ -102,7 +102,7 @@
 
 
 class QuarantineRequest(typing.NamedTuple):
-    """Hold back a request that has crashed ``crashes`` runners."""
+    """Quarantine a request that has crashed ``crashes`` runners."""
 
     digest: bytes
     crashes: int
@@ -110,7 +110,7 @@
 
 
 class ReleaseRequest(typing.NamedTuple):
-    """Hold a request back no more; unless for a trial, forget it."""
+    """Release a request from quarantine; unless for a probe, remove it."""
 
     digest: bytes
     is_probe: bool
@@ -150,14 +150,14 @@
 
 
 def encode(command: Command) -> bytes:
-    """Return the entry payload of ``command``."""
+    """Return the payload of the log entry for ``command``."""
     return msgspec.msgpack.encode((_NUMBER[type(command)], command))
 
 
 def decode(data: bytes) -> Command:
-    """Return the command of an entry payload.
+    """Return the command in the payload of a log entry.
 
-    :raises BadMessage: where this version does not know it.
+    :raises BadMessage: it is malformed, or unknown to this version.
     """
     try:
         kind, body = _OUTER.decode(data)
