--- a/mountridge/state/views.py
+++ b/mountridge/state/views.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The shared view: what controllers spread to gateways and agents.
+"""The shared view: the state that controllers send to lease holders.
 
 Entries are keyed ``row/...``, ``member/...``, ``map/...``, ``routes``,
 ``instance/...``, ``hall/...`` and ``quarantine/...``; each carries the index
-of the log entry that last changed it, so that a holder at any index can be
-brought up to date by the entries past it.
+of the log entry that last changed it, so a holder at any index is brought up
+to date with the entries after that index.
 """
 
 import typing
@@ -31,19 +31,19 @@
     'unpack_row',
 ]
 
-#: Removed keys that are remembered; a holder older than that gets all.
+#: Most removed keys to keep; a holder behind them gets a snapshot.
 MAX_REMOVED = 10000
-#: Where a view holds the routes document, the runners by id, and the halls
-#: that were ever taken out of service by name.
+#: Keys of the routes document, of runners by id, and of halls by name that
+#: were ever taken out of service.
 ROUTES_KEY = 'routes'
 INSTANCE_PREFIX = 'instance/'
 HALL_PREFIX = 'hall/'
-#: Where it holds the requests that are held back, by digest in hexadecimal.
+#: Keys of quarantined requests, by digest in hexadecimal.
 QUARANTINE_PREFIX = 'quarantine/'
 
 
 class Member(typing.NamedTuple):
-    """A gateway or agent as the controllers know it."""
+    """A gateway or agent as registered with the controllers."""
 
     name: str
     kind: str
@@ -66,37 +66,37 @@
 
 
 def pack(value: typing.Any) -> bytes:
-    """Return the bytes that stand for a row or member in the view."""
+    """Encode the value of an entry."""
     return msgspec.msgpack.encode(value)
 
 
 def unpack_row(data: bytes) -> tables.Row:
-    """Return the row that ``data`` stands for."""
+    """Decode a row of the table."""
     return _ROW.decode(data)
 
 
 def unpack_member(data: bytes) -> Member:
-    """Return the member that ``data`` stands for."""
+    """Decode a gateway or agent."""
     return _MEMBER.decode(data)
 
 
 def unpack_instance(data: bytes) -> instances.Instance:
-    """Return the registration that ``data`` stands for."""
+    """Decode the registration of a runner."""
     return _INSTANCE.decode(data)
 
 
 def unpack_hall(data: bytes) -> halls.HallState:
-    """Return the state of a hall that ``data`` stands for."""
+    """Decode the state of a hall."""
     return _HALL.decode(data)
 
 
 def unpack_quarantined(data: bytes) -> quarantines.Held:
-    """Return the request held back that ``data`` stands for."""
+    """Decode a quarantined request."""
     return _HELD.decode(data)
 
 
 def routes_in(view: 'View') -> messages.RoutesReply:
-    """Return the routes document in ``view``; version 0 for none."""
+    """Return the routes document in ``view``; version 0 if there is none."""
     found = view.entries.get(ROUTES_KEY)
     if found is None or found.value is None:
         return messages.RoutesReply(0, b'')
@@ -104,14 +104,14 @@
 
 
 class View:
-    """Entries by key, and the index up to which they are whole."""
+    """Entries by key, and the log index up to which they are complete."""
 
     def __init__(self) -> None:
         self.index = 0
-        #: Counts changes of entries; what is derived from them is made anew
-        #: when it differs. The index moves on with every log entry.
+        #: Incremented by each change of an entry, so that derived data is
+        #: rebuilt only then; the index increases with every log entry.
         self.revision = 0
-        #: A holder below this index can't be told what was removed.
+        #: Removals up to this index may be missing from ``removed``.
         self.horizon = 0
         self.entries: dict[str, messages.Change] = {}
         self.removed: dict[str, messages.Change] = {}
@@ -124,21 +124,17 @@
         self.removed.pop(key, None)
         if value is None:
             self.removed[key] = change
-            self._forget()
+            self._trim_removed()
         else:
             self.entries[key] = change
 
-    def _forget(self) -> None:
+    def _trim_removed(self) -> None:
         while len(self.removed) > MAX_REMOVED:
             oldest = next(iter(self.removed))
             self.horizon = self.removed.pop(oldest).index
 
     def changes_since(self, index: int) -> tuple[bool, list[messages.Change]]:
-        """Return (is it a snapshot, changes) for a holder at ``index``.
-
-        Entries stand in the order of their change, so that the walk from
-        the newest ends at the first one that the holder has.
-        """
+        """Return (is a snapshot, changes) for a holder at ``index``."""
         if index < self.horizon or index > self.index:
             return True, list(self.entries.values())
         return False, _newer(self.entries, index) + _newer(self.removed, index)
@@ -146,7 +142,7 @@
     def apply(
         self, index: int, snapshot: bool, changes: list[messages.Change]
     ) -> bool:
-        """Take changes up to ``index``; false where they are older."""
+        """Apply changes up to ``index``; return False if they are older."""
         if index < self.index:
             return False
         if snapshot:
@@ -159,7 +155,7 @@
         return True
 
     def by_prefix(self, prefix: str) -> dict[str, bytes]:
-        """Return values by key for the keys that begin with ``prefix``."""
+        """Return the values by key of the keys that start with ``prefix``."""
         return {
             key: change.value
             for key, change in self.entries.items()
@@ -171,6 +167,7 @@
     entries: dict[str, messages.Change], index: int
 ) -> list[messages.Change]:
     newer = []
+    # Entries are in the order of their last change.
     for change in reversed(entries.values()):
         if change.index <= index:
             break
