--- a/mountridge/state/leases.py
+++ b/mountridge/state/leases.py
@@ -2,9 +2,9 @@
 
 """Leases: who may act on the view, and when a change is in force.
 
-A holder counts its lease from the moment it *sent* the renewal, the leader
-from the moment it *received* it, each by its own monotonic clock; so a
-holder always stops before the leader takes its lease as run out.
+A holder counts its lease from the time it *sent* the renewal, the leader
+from the time it *received* it, each on its own monotonic clock; so a lease
+always ends at its holder before the leader considers it expired.
 """
 
 import typing
@@ -16,7 +16,7 @@
 
 
 class HeldLease:
-    """A gateway's or agent's lease and the view that it may act on."""
+    """The lease of a gateway, agent or entry, and the view it may act on."""
 
     def __init__(self) -> None:
         self.until_s = 0.0
@@ -25,14 +25,14 @@
         self.shares: dict[str, messages.Share] = {}
 
     def is_valid(self, now_s: float) -> bool:
-        """Return whether new work may be taken at ``now_s``."""
+        """Return whether new work may be accepted at ``now_s``."""
         return now_s < self.until_s
 
     def apply_grant(self, grant: messages.Grant, sent_s: float) -> bool:
-        """Take a grant for the renewal sent at ``sent_s``.
+        """Apply a grant for the renewal sent at ``sent_s``.
 
-        False where it comes from a leader of an earlier term or would take
-        the view back; the lease is then left as it is.
+        Returns False, and changes nothing, if the grant is of an earlier
+        fence or its view is older.
         """
         if grant.fence < self.fence:
             return False
@@ -44,7 +44,10 @@
         return True
 
     def apply_changes(self, pushed: messages.Changes) -> bool:
-        """Take changes pushed between renewals, where they fit on."""
+        """Apply changes pushed between renewals.
+
+        Returns False if they are of another term or do not follow the view.
+        """
         if pushed.fence.term != self.fence.term:
             return False
         if not pushed.since <= self.view.index <= pushed.index:
@@ -53,52 +56,52 @@
 
 
 class Granted(typing.NamedTuple):
-    """A lease on the view at ``index`` that may be acted on until then."""
+    """A lease, granted with the view at ``index``."""
 
     index: int
     until_s: float
 
 
 class Holder(typing.NamedTuple):
-    """What the leader knows of one lease holder."""
+    """What the leader knows about one lease holder."""
 
     renew: messages.Renew
     route: bytes
     until_s: float
-    index: int  # newest index known to be in force there
+    index: int  # newest index that it has acknowledged
     sent_index: int  # newest index sent to it
-    granted: list[Granted]  # on older views it may act until these end
+    granted: list[Granted]  # leases with views that it may still act on
 
 
 class LeaseTable:
     """The leases that the leader has granted in its term.
 
-    A lease comes with a view and is taken together with it. So a holder
-    that has not acknowledged a change can act on an older view only until
-    the last lease granted *with* an older view ends, however often it
-    renews without hearing the answers.
+    A lease and its view are applied together. So a holder that has not
+    acknowledged a change acts on an older view no longer than until the end
+    of the last lease granted *with* an older view, even if it keeps sending
+    renewals and loses the replies.
 
-    Until ``lease_s`` after its election there may be holders that only an
-    earlier leader knows, so nothing counts as in force before that.
+    For ``lease_s`` after the election there may be holders known only to an
+    earlier leader, so nothing counts as in force before ``quiet_until_s``.
     """
 
     def __init__(self, started_s: float, lease_s: float):
         self.quiet_until_s = started_s + lease_s
         self.lease_s = lease_s
         self.holders: dict[str, Holder] = {}
-        #: Leases of earlier incarnations, by the name of the holder.
-        self._earlier: list[tuple[str, Granted]] = []
+        #: (holder, lease) of earlier incarnations of holders.
+        self._earlier_leases: list[tuple[str, Granted]] = []
 
     def renew(
         self, route: bytes, renew: messages.Renew, index: int, now_s: float
     ) -> Holder:
-        """Grant a lease on the view at ``index``."""
+        """Grant a lease with the view at ``index``."""
         found = self.holders.get(renew.name)
         granted: list[Granted] = []
         if found and found.renew.incarnation == renew.incarnation:
             granted = [g for g in found.granted if g.index >= renew.index]
         elif found:
-            self._earlier += [(renew.name, g) for g in found.granted]
+            self._earlier_leases += [(renew.name, g) for g in found.granted]
         until_s = now_s + self.lease_s
         granted = [g for g in granted if g.index != index]
         granted.append(Granted(index, until_s))
@@ -109,17 +112,17 @@
     def renewed_recently(
         self, name: str, within_s: float, now_s: float
     ) -> bool:
-        """Return whether a holder has renewed within ``within_s``."""
+        """Return whether a holder has renewed in the last ``within_s``."""
         renewed_s = self.holders[name].until_s - self.lease_s
         return now_s - renewed_s <= within_s
 
     def record_sent(self, name: str, index: int) -> None:
-        """Note that changes up to ``index`` are on their way."""
+        """Record that changes up to ``index`` have been sent."""
         holder = self.holders[name]
         self.holders[name] = holder._replace(sent_index=index)
 
     def waiting_for(self, index: int, now_s: float) -> list[str]:
-        """Return the holders that may still act on an older view."""
+        """Return the holders that may act on a view older than ``index``."""
         names = [
             name
             for name, granted in self._all_granted()
@@ -133,10 +136,10 @@
         for name, holder in self.holders.items():
             for granted in holder.granted:
                 yield name, granted
-        yield from self._earlier
+        yield from self._earlier_leases
 
     def in_force_index(self, index: int, now_s: float) -> int:
-        """Return the newest index, up to ``index``, in force everywhere."""
+        """Return the newest index, up to ``index``, that all holders use."""
         if now_s < self.quiet_until_s:
             return 0
         live = [
@@ -147,8 +150,10 @@
         return min(live + [index])
 
     def remove_expired(self, now_s: float) -> list[str]:
-        """Return and forget the holders whose lease has run out."""
-        self._earlier = [e for e in self._earlier if e[1].until_s > now_s]
+        """Remove the holders whose lease has expired; return their names."""
+        self._earlier_leases = [
+            e for e in self._earlier_leases if e[1].until_s > now_s
+        ]
         names = [
             name
             for name, holder in self.holders.items()
