--- a/mountridge/state/limits.py
+++ b/mountridge/state/limits.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Limits across gateways: shares of each row's limits that follow demand.
+"""Limits across gateways: each row's limits are shared by demand.
 
-The leader hands out shares with each lease. A gateway holds what it was
-last granted, or more while requests begun under a larger share still run;
-the leader counts the larger of what is held and what it grants, so the sum
-stays within the limit while any grant is on its way, lost or late.
+The leader grants shares with each lease. A gateway holds its last granted
+share, or more while requests that started under a larger share still run.
+The leader counts the larger of the held and the granted share, so the sum
+stays within the limit even if a grant is delayed or lost.
 """
 
 import typing
@@ -15,33 +15,33 @@
 
 __all__ = ['Apportioner', 'Limiter', 'Usage']
 
-#: Seconds of a rate that may be used at once after a pause.
+#: Largest burst, in seconds of the rate.
 BURST_S = 1.0
-#: A row with no requests for this long needs no share.
+#: A row without requests for this long needs no share.
 IDLE_S = 10.0
 
 
 class Usage:
-    """What one gateway uses and wants of one row."""
+    """Usage of one row by one gateway."""
 
     def __init__(self, now_s: float) -> None:
         self.running = 0
         self.refused = 0
-        self.begun = 0
+        self.started = 0
         self.tokens = 1.0
         self.refilled_s = now_s
         self.used_s = now_s
 
 
 class Limiter:
-    """The gateway's side: admits requests within the shares it holds."""
+    """Gateway side: admits requests within the shares that it holds."""
 
     def __init__(self) -> None:
         self.usage: dict[str, Usage] = {}
-        self._asked_s = 0.0
+        self._last_demand_s = 0.0
 
     def has_share(self, key: str, shares: dict[str, messages.Share]) -> bool:
-        """Return whether requests of row ``key`` can be begun here."""
+        """Return whether requests of row ``key`` may start here."""
         return key in shares and shares[key].concurrency > 0
 
     def record_waiting(self, key: str, now_s: float) -> None:
@@ -53,15 +53,17 @@
     def _refill(
         self, usage: Usage, share: messages.Share, now_s: float
     ) -> None:
-        passed_s = max(0.0, now_s - usage.refilled_s)
+        elapsed_s = max(0.0, now_s - usage.refilled_s)
         usage.refilled_s = now_s
-        most = max(1.0, share.rate_per_s * BURST_S)
-        usage.tokens = min(most, usage.tokens + passed_s * share.rate_per_s)
+        capacity = max(1.0, share.rate_per_s * BURST_S)
+        usage.tokens = min(
+            capacity, usage.tokens + elapsed_s * share.rate_per_s
+        )
 
     def admit(
         self, key: str, share: messages.Share | None, now_s: float
     ) -> None:
-        """Count a request of row ``key`` as begun.
+        """Count a request of row ``key`` as started.
 
         :raises LimitReached: the share of the row is used up.
         """
@@ -71,47 +73,47 @@
             usage.refused += 1
             held = share.concurrency if share else 0
             raise errors.LimitReached(
-                f'row {key}: {usage.running} running here, '
-                f'share {held:g} of its concurrency'
+                f'row {key}: {usage.running} requests running here, '
+                f'concurrency share {held:g}'
             )
         self._refill(usage, share, now_s)
         if usage.tokens < 1:
             usage.refused += 1
-            pace_s = (1 - usage.tokens) / max(share.rate_per_s, 0.001)
+            wait_s = (1 - usage.tokens) / max(share.rate_per_s, 0.001)
             raise errors.LimitReached(
-                f'row {key}: share {share.rate_per_s:g} requests/s is used',
-                retry_after_s=pace_s,
+                f'row {key}: rate share {share.rate_per_s:g}/s is used up',
+                retry_after_s=wait_s,
             )
         usage.tokens -= 1
         usage.running += 1
-        usage.begun += 1
+        usage.started += 1
 
     def release(self, key: str) -> None:
         """Count a request of row ``key`` as ended."""
         self.usage[key].running -= 1
 
     def demand(self, now_s: float) -> list[messages.Share]:
-        """Return what was wanted of each row since the last call."""
-        passed_s = max(0.1, now_s - self._asked_s)
-        self._asked_s = now_s
-        wanted = []
+        """Return the concurrency and rate requested since the last call."""
+        elapsed_s = max(0.1, now_s - self._last_demand_s)
+        self._last_demand_s = now_s
+        demand = []
         for key, usage in list(self.usage.items()):
-            count = usage.begun + usage.refused
+            count = usage.started + usage.refused
             idle = now_s - usage.used_s > IDLE_S
             if not usage.running and not count and idle:
                 del self.usage[key]
                 continue
-            wanted.append(
+            demand.append(
                 messages.Share(
-                    key, usage.running + usage.refused, count / passed_s
+                    key, usage.running + usage.refused, count / elapsed_s
                 )
             )
-            usage.begun = 0
+            usage.started = 0
             usage.refused = 0
-        return wanted
+        return demand
 
     def held(self, shares: dict[str, messages.Share]) -> list[messages.Share]:
-        """Return what may be in use of each row until the next grant."""
+        """Return the share of each row that is held until the next grant."""
         rows = shares.keys() | self.usage.keys()
         held = []
         for key in rows:
@@ -125,15 +127,15 @@
 
 
 class Apportioner:
-    """The leader's side: divides each row's limits among lease holders."""
+    """Leader side: divides each row's limits among the lease holders."""
 
     def __init__(self, quiet_until_s: float):
         self._quiet_until_s = quiet_until_s
-        #: gateway -> row -> the most that may be in use there.
-        self._out: dict[str, dict[str, messages.Share]] = {}
-        self._wanted: dict[str, dict[str, messages.Share]] = {}
-        #: row -> (until when, concurrency) of holders that lapsed.
-        self._lapsed: dict[str, list[tuple[float, float]]] = {}
+        #: gateway -> row -> the largest share that may be in use there.
+        self._in_use: dict[str, dict[str, messages.Share]] = {}
+        self._demand: dict[str, dict[str, messages.Share]] = {}
+        #: row -> (until when, concurrency) that removed gateways reserve.
+        self._reserved: dict[str, list[tuple[float, float]]] = {}
 
     def remove_gateway(
         self,
@@ -141,49 +143,48 @@
         rows: typing.Mapping[str, tables.Row],
         now_s: float,
     ) -> None:
-        """The lease of ``gateway`` has run out: it begins nothing more.
+        """Remove a gateway whose lease has expired.
 
-        What it had begun may run on until the deadline, so its part of the
-        concurrency stays taken for that long.
+        Its requests may run until their deadline, so its concurrency stays
+        reserved for that long.
         """
-        self._wanted.pop(gateway, None)
-        for key, share in self._out.pop(gateway, {}).items():
+        self._demand.pop(gateway, None)
+        for key, share in self._in_use.pop(gateway, {}).items():
             if key in rows and share.concurrency:
                 until_s = now_s + rows[key].deadline_s
-                kept = self._lapsed.setdefault(key, [])
-                kept.append((until_s, share.concurrency))
+                reserved = self._reserved.setdefault(key, [])
+                reserved.append((until_s, share.concurrency))
 
     def _still_running(self, key: str, now_s: float) -> float:
-        """Return the concurrency that lapsed holders may still use."""
-        kept = [x for x in self._lapsed.get(key, []) if x[0] > now_s]
-        self._lapsed[key] = kept
-        if not kept:
-            del self._lapsed[key]
-        return sum(concurrency for _, concurrency in kept)
+        """Return the concurrency that removed gateways may still use."""
+        reserved = [r for r in self._reserved.get(key, []) if r[0] > now_s]
+        self._reserved[key] = reserved
+        if not reserved:
+            del self._reserved[key]
+        return sum(concurrency for _, concurrency in reserved)
 
     def grant(
         self,
         gateway: str,
-        wanted: list[messages.Share],
+        demand: list[messages.Share],
         held: list[messages.Share],
         rows: typing.Mapping[str, tables.Row],
         now_s: float,
     ) -> list[messages.Share]:
-        """Return the shares for a gateway that renews its lease.
+        """Return the shares of a gateway that renews its lease.
 
-        Only rows that it wants or holds are looked at, so that the work
-        and the message grow with the rows in use there. Before the quiet
-        time is over, holders that only an earlier leader knows may exist;
-        no share grows until then.
+        Only rows that it requests or holds are considered, so that the cost
+        is proportional to the rows in use there. No share grows until the
+        leases granted by earlier leaders have expired.
         """
-        self._wanted[gateway] = {share.row: share for share in wanted}
+        self._demand[gateway] = {share.row: share for share in demand}
         held_by_row = {share.row: share for share in held}
         shares = []
-        out = {}
-        for key in self._wanted[gateway].keys() | held_by_row.keys():
+        in_use = {}
+        for key in self._demand[gateway].keys() | held_by_row.keys():
             have = held_by_row.get(key, messages.Share(key, 0, 0.0))
             share = messages.Share(key, 0, 0.0)
-            if key in rows and key in self._wanted[gateway]:
+            if key in rows and key in self._demand[gateway]:
                 share = self._share(gateway, rows[key], now_s)
             if now_s < self._quiet_until_s:
                 share = messages.Share(
@@ -191,36 +192,39 @@
                     min(share.concurrency, have.concurrency),
                     min(share.rate_per_s, have.rate_per_s),
                 )
-            out[key] = _larger(have, share)
+            in_use[key] = _larger(have, share)
             if share.concurrency or share.rate_per_s:
                 shares.append(share)
-        self._out[gateway] = out
+        self._in_use[gateway] = in_use
         return shares
 
     def _share(
         self, gateway: str, row: tables.Row, now_s: float
     ) -> messages.Share:
         key = tables.row_key(row)
-        others = [name for name in self._wanted if name != gateway]
+        others = [name for name in self._demand if name != gateway]
         used = [
-            self._out[name][key]
+            self._in_use[name][key]
             for name in others
-            if key in self._out.get(name, {})
+            if key in self._in_use.get(name, {})
         ]
-        nothing = messages.Share(key, 0, 0.0)
-        wanted = [
-            self._wanted[name].get(key, nothing) for name in [gateway] + others
+        no_share = messages.Share(key, 0, 0.0)
+        demand = [
+            self._demand[name].get(key, no_share)
+            for name in [gateway] + others
         ]
         free = row.concurrency - sum(share.concurrency for share in used)
         free -= self._still_running(key, now_s)
         free_per_s = row.rate_per_s - sum(s.rate_per_s for s in used)
-        fair = _fair(row.concurrency, [w.concurrency for w in wanted])
-        fair_per_s = _fair(row.rate_per_s, [w.rate_per_s for w in wanted])
-        # A limit smaller than the number of gateways goes where it is used.
-        whole = int(fair) or min(1, wanted[0].concurrency)
+        fair = _fair_share(row.concurrency, [d.concurrency for d in demand])
+        fair_per_s = _fair_share(
+            row.rate_per_s, [d.rate_per_s for d in demand]
+        )
+        # With more gateways than requests allowed, demand gets one each.
+        target = int(fair) or min(1, demand[0].concurrency)
         return messages.Share(
             key,
-            max(0, min(int(free), whole)),
+            max(0, min(int(free), target)),
             max(0.0, min(free_per_s, fair_per_s)),
         )
 
@@ -233,20 +237,20 @@
     )
 
 
-def _fair(limit: float, wanted: list[float]) -> float:
-    """Return the first asker's part of ``limit``: max-min fair, spare too.
+def _fair_share(limit: float, demand: list[float]) -> float:
+    """Return the max-min fair share of the first demand in ``demand``.
 
-    Each gets what it wants up to an even level. What no one wants is split
-    evenly among all gateways; parts of those that never ask stay free, so
-    that the first request of another one is not held up.
+    Each gets its demand up to an equal level. A remainder is split evenly
+    among all gateways; the parts of gateways without demand stay free, so
+    that their first requests need not wait.
     """
-    level = limit / len(wanted)
-    left = limit
-    for count, want in enumerate(sorted(wanted)):
-        level = left / (len(wanted) - count)
+    level = limit / len(demand)
+    remaining = limit
+    for count, want in enumerate(sorted(demand)):
+        level = remaining / (len(demand) - count)
         if want > level:
             break
-        left -= want
+        remaining -= want
     else:
-        return wanted[0] + left / len(wanted)
-    return min(wanted[0], level)
+        return demand[0] + remaining / len(demand)
+    return min(demand[0], level)
