--- a/mountridge/state/lives.py
+++ b/mountridge/state/lives.py
@@ -1,18 +1,20 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which of two words about a runner is newer, and which changes nothing.
+"""Ordering of messages from runners, and detection of outdated ones.
 
-A word is a heartbeat or a leave. Words of one id are ordered by the start
-that they tell, then by their count. A word that tells no start is ordered by
-its count alone, so it can't begin a new life while the former one holds.
+A message is a heartbeat or a leave. Messages of one id are ordered by the
+start time that they carry, then by their sequence number. A message without
+a start time is ordered by its sequence number alone, so it can't begin a new
+incarnation while the current one is registered.
 
-A life ends for good where the runner says that it leaves. Where silence or
-another runner at its address ended it, the end may be a mistake, and a newer
-word of it counts. Of two runners at one address the one with the later start
-has it; where one tells none, the one that registered later.
+An incarnation that has announced its leave has ended for good. One that was
+ended by a timeout, or by another runner at its address, may still be running,
+and a newer message of it registers it again. Of two runners at one address
+the one with the later start time gets it; if either has no start time, the
+one that registered later.
 
-The functions decide from replicated state alone, so that every controller
-and every later leader decides the same.
+The functions depend on replicated state alone, so that every controller and
+every later leader makes the same decision.
 """
 
 import enum
@@ -21,117 +23,121 @@
 from mountridge.documents import instances
 
 __all__ = [
-    'LATE_S', 'Order', 'Refusal', 'check_leave', 'classify', 'has_ended',
+    'MAX_DELAY_S', 'Order', 'Refusal', 'check_leave', 'classify', 'has_ended',
     'is_unchanged', 'updated',
 ]  # fmt: skip
 
-#: Longest that a word is under way: its sender gives a call up after a
-#: second, but a box that stood still may pass it on when it wakes.
-LATE_S = 10.0
-#: Number of leading fields of a registration that its runner tells with each
-#: heartbeat; from `seq` on the controllers keep them.
-_TOLD_FIELDS = instances.Instance._fields.index('seq')
+#: Longest delay of a message: its sender gives up after a second, but a box
+#: that was suspended may forward it when it resumes.
+MAX_DELAY_S = 10.0
+#: Number of leading fields of a registration that each heartbeat carries;
+#: the controllers maintain those from `seq` on.
+_REPORTED_FIELDS = instances.Instance._fields.index('seq')
 
 
 class Refusal(enum.StrEnum):
-    """Why a word changes nothing; counted and logged by these names."""
+    """Why a message is ignored; the values are in metrics and log lines."""
 
-    OLDER_LIFE = 'older_life'  # a later start is known under this id
-    OLDER_COUNT = 'older_count'  # a newer word of this life has come
-    LEFT = 'left'  # this life has said that it leaves
-    NO_START = 'no_start'  # the life that holds tells its start
-    MOVED = 'moved'  # another service or place within one life
-    ADDRESS = 'address'  # a later runner has the address
-    EARLY_LEAVE = 'early_leave'  # it may mean the life before
+    OLDER_LIFE = 'older_life'  # a later start time is registered for the id
+    OLDER_COUNT = 'older_count'  # a newer message was received
+    LEFT = 'left'  # this incarnation has announced its leave
+    NO_START = 'no_start'  # the registered incarnation has a start time
+    MOVED = 'moved'  # service, address or hall changed without a restart
+    ADDRESS = 'address'  # a later runner is registered at the address
+    EARLY_LEAVE = 'early_leave'  # it may be of the earlier incarnation
 
 
 class Order(enum.Enum):
-    """How a word of an id stands to what is held of that id."""
+    """How a message relates to the registration; the names are logged."""
 
-    SAME = enum.auto()  # a newer word of the life that holds
-    NEWER = enum.auto()  # the first word of a life
-    BACK = enum.auto()  # of a life that was taken as over
+    SAME = enum.auto()  # a newer message of the registered incarnation
+    NEWER = enum.auto()  # the first message of an incarnation
+    BACK = enum.auto()  # of an incarnation that was considered ended
 
 
 def has_ended(instance: instances.Instance) -> bool:
-    """Return whether a registration is over."""
+    """Return whether a registration has ended."""
     return instance.state == instances.LEFT
 
 
-def is_unchanged(given: instances.Instance, known: instances.Instance) -> bool:
-    """Return whether a word tells nothing that is not held."""
-    return given[:_TOLD_FIELDS] == known[:_TOLD_FIELDS]
+def is_unchanged(
+    received: instances.Instance, known: instances.Instance
+) -> bool:
+    """Return whether a heartbeat leaves a registration as it is."""
+    return received[:_REPORTED_FIELDS] == known[:_REPORTED_FIELDS]
 
 
 def classify(
-    given: instances.Instance,
+    received: instances.Instance,
     known: instances.Instance | None,
     others: typing.Iterable[instances.Instance],
 ) -> Order | Refusal:
-    """Return what a heartbeat is, or why it changes nothing.
+    """Return how a heartbeat relates to its registration, or a refusal.
 
-    ``known`` is what is held under its id. ``others`` are registrations of
-    other ids; those at other addresses are passed over.
+    ``known`` is the registration of its id. ``others`` are registrations of
+    other ids; those at other addresses are ignored.
     """
-    order = _order(given, known)
+    order = _order(received, known)
     if not isinstance(order, Order) or order is Order.SAME:
         return order
     for other in others:
-        if other.address == given.address and not _yields(other, given, order):
+        if other.address == received.address and not _loses_address(
+            other, received, order
+        ):
             return Refusal.ADDRESS
     return order
 
 
 def _order(
-    given: instances.Instance, known: instances.Instance | None
+    received: instances.Instance, known: instances.Instance | None
 ) -> Order | Refusal:
-    """Order a word after what is held under its id."""
+    """Order a message relative to the registration of its id."""
     if known is None:
         return Order.NEWER
-    if given.born_ms and known.born_ms:
-        if given.born_ms != known.born_ms:
-            is_newer = given.born_ms > known.born_ms
+    if received.born_ms and known.born_ms:
+        if received.born_ms != known.born_ms:
+            is_newer = received.born_ms > known.born_ms
             return Order.NEWER if is_newer else Refusal.OLDER_LIFE
-        return _order_within(given, known)
-    if given.born_ms:
-        return _order_first_start(given, known)
+        return _order_within(received, known)
+    if received.born_ms:
+        return _order_first_start(received, known)
     if known.born_ms:
         return Order.BACK if known.may_return else Refusal.NO_START
-    return _order_within(given, known)
+    return _order_within(received, known)
 
 
 def _order_first_start(
-    given: instances.Instance, known: instances.Instance
+    received: instances.Instance, known: instances.Instance
 ) -> Order | Refusal:
-    """Order a word that tells a start after a life that told none."""
-    if not has_ended(known) or given.born_ms > known.since_ms:
+    """Order a message with a start time after an incarnation without."""
+    if not has_ended(known) or received.born_ms > known.since_ms:
         return Order.NEWER
-    return _order_within(given, known)
+    return _order_within(received, known)
 
 
 def _order_within(
-    given: instances.Instance, known: instances.Instance
+    received: instances.Instance, known: instances.Instance
 ) -> Order | Refusal:
-    """Order two words of one life by their counts."""
+    """Order two messages of one incarnation by sequence number."""
     if has_ended(known) and not known.may_return:
         return Refusal.LEFT
-    if given.seq < known.seq:
+    if received.seq < known.seq:
         return Refusal.OLDER_COUNT
     if has_ended(known):
         return Order.BACK
-    place = (given.service, given.address, given.hall)
+    place = (received.service, received.address, received.hall)
     if place != (known.service, known.address, known.hall):
         return Refusal.MOVED
     return Order.SAME
 
 
-def _yields(
-    other: instances.Instance, given: instances.Instance, order: Order
+def _loses_address(
+    other: instances.Instance, received: instances.Instance, order: Order
 ) -> bool:
-    """Return whether a runner at the same address gives way to a word."""
-    if other.born_ms and given.born_ms:
-        # Also one that is over: a later start there has ended this one.
-        return other.born_ms < given.born_ms
+    """Return whether a runner loses its address to a message's sender."""
+    if other.born_ms and received.born_ms:
+        # Also if it has ended: an earlier runner has ended before it.
+        return other.born_ms < received.born_ms
     if has_ended(other):
         return True
     return order is Order.NEWER and not other.born_ms
@@ -140,12 +146,12 @@
 def check_leave(
     born_ms: int, lives: int, known: instances.Instance | None, now_ms: int
 ) -> Refusal | None:
-    """Return why a leave ends nothing; None where it ends what is held.
+    """Return why a leave is ignored; None if it ends the registration.
 
-    ``born_ms`` is the start that it tells, ``lives`` the life that was held
-    where it came in; 0 where either is not told. A leave that tells no start
-    and comes soon after a restart may be of the life before; a runner that
-    has said that it drains is meant itself.
+    ``born_ms`` is the start time that it carries, ``lives`` the incarnation
+    registered in the view of the process that received it; 0 if unknown. A
+    leave without a start time soon after a restart may be of the earlier
+    incarnation, unless the registered one is draining.
     """
     if known is None or (has_ended(known) and not known.may_return):
         return None
@@ -153,20 +159,22 @@
         return Refusal.OLDER_LIFE if born_ms < known.born_ms else None
     if lives and lives < known.lives:
         return Refusal.OLDER_LIFE
-    is_fresh = known.lives > 1 and now_ms - known.since_ms < LATE_S * 1000
+    is_fresh = known.lives > 1 and now_ms - known.since_ms < MAX_DELAY_S * 1000
     if is_fresh and known.state == instances.READY:
         return Refusal.EARLY_LEAVE
     return None
 
 
 def updated(
-    given: instances.Instance,
+    received: instances.Instance,
     known: instances.Instance | None,
     order: Order,
     now_ms: int,
 ) -> instances.Instance:
-    """Return what is held once a word was taken."""
+    """Return the registration after an accepted heartbeat."""
     if order is Order.SAME and known is not None:
-        return given._replace(lives=known.lives, since_ms=known.since_ms)
+        return received._replace(lives=known.lives, since_ms=known.since_ms)
     before = known.lives if known else 0
-    return given._replace(lives=before + 1, since_ms=now_ms, may_return=False)
+    return received._replace(
+        lives=before + 1, since_ms=now_ms, may_return=False
+    )
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -404,7 +404,7 @@
     ),
     Mutant(
         'entry: late heartbeats count', 'lives',
-        'if given.seq < known.seq:', 'if False:',
+        'if received.seq < known.seq:', 'if False:',
         'entry', 'heartbeat that comes late',
     ),
     Mutant(
@@ -789,17 +789,17 @@
     ),
     Mutant(
         'lives: an older start is a new life', 'lives',
-        'is_newer = given.born_ms > known.born_ms',
+        'is_newer = received.born_ms > known.born_ms',
         'is_newer = True', 'lives',
     ),
     Mutant(
         'lives: a newer start is an old life', 'lives',
-        'is_newer = given.born_ms > known.born_ms',
+        'is_newer = received.born_ms > known.born_ms',
         'is_newer = False', 'lives',
     ),
     Mutant(
         'lives: late counts count', 'lives',
-        'if given.seq < known.seq:',
+        'if received.seq < known.seq:',
         'if False:', 'lives',
     ),
     Mutant(
@@ -819,18 +819,18 @@
     ),
     Mutant(
         'lives: a start from before the leave', 'lives',
-        'if not has_ended(known) or given.born_ms > known.since_ms:',
+        'if not has_ended(known) or received.born_ms > known.since_ms:',
         'if True:', 'lives',
     ),
     Mutant(
         'lives: an earlier start takes an address', 'lives',
-        'return other.born_ms < given.born_ms',
+        'return other.born_ms < received.born_ms',
         'return True', 'lives',
     ),
     Mutant(
         'lives: a later runner that left is forgotten', 'lives',
-        'if other.born_ms and given.born_ms:',
-        'if other.born_ms and given.born_ms and not has_ended(other):',
+        'if other.born_ms and received.born_ms:',
+        'if other.born_ms and received.born_ms and not has_ended(other):',
         'lives',
     ),
     Mutant(
