--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -3,8 +3,8 @@
 """The replicated state machine: every controller applies the same log.
 
 It does no I/O and takes all times from the commands, so equal logs give
-equal states. Replies are kept out of the state, but for those of puts,
-which a resend must get again.
+equal states. Replies are not part of the state, except those to updates of
+the table, which a resent update must get again.
 """
 
 import typing
@@ -17,21 +17,21 @@
 
 __all__ = ['StateMachine', 'VersionRecord']
 
-#: Puts whose replies are kept for resends, and versions in the log.
-KEPT_OPERATIONS = 10000
-KEPT_VERSIONS = 1000
-#: Answers of claimed calls that are kept whole, in bytes.
-MAX_KEPT_ANSWER = 16384
-#: Runners that left whose ids are remembered, so that a late heartbeat of
-#: one does not bring it back; a whole fleet may be replaced a few times.
-KEPT_LEFT = 2000
-#: Requests that are or were held back, of 60 bytes each in every view: one a
-#: minute for half a day.
-MOST_HELD = 1000
+#: Most replies to updates of the table, and most versions, to keep.
+MAX_OPERATIONS = 10000
+MAX_VERSIONS = 1000
+#: Largest answer to a claimed call that is stored, in bytes.
+MAX_STORED_ANSWER = 16384
+#: Most ended registrations to keep, so that a delayed heartbeat of an ended
+#: runner does not register it again.
+MAX_ENDED = 2000
+#: Most requests, quarantined or released for a probe, to keep; each takes
+#: about 60 bytes in every view.
+MAX_QUARANTINED = 1000
 
 
 class VersionRecord(typing.NamedTuple):
-    """Who made a version of the table, when, and at which index."""
+    """Author, time and log index of a version of the table."""
 
     version: int
     index: int
@@ -40,7 +40,7 @@
 
 
 class _Image(typing.NamedTuple):
-    """The whole state as it stands in a snapshot."""
+    """The whole state, as encoded in a snapshot."""
 
     index: int
     horizon: int
@@ -55,7 +55,7 @@
 
 
 class StateMachine:
-    """View, table versions, kept replies of puts, and claims."""
+    """The view, versions of the table, replies to its updates, and claims."""
 
     def __init__(self) -> None:
         self.view = views.View()
@@ -63,31 +63,31 @@
         self.versions: list[VersionRecord] = []
         self.operations: dict[str, messages.PutReply] = {}
         self.claims = claims.Claims()
-        #: Unpacked beside the view, for what is looked up often.
+        #: Decoded entries of the view, by key.
         self.rows_by_key: dict[str, tables.Row] = {}
         self.members_by_name: dict[str, views.Member] = {}
         self.routes_version = 0
         self.instances: dict[str, instances.Instance] = {}
         self.halls: dict[str, halls.HallState] = {}
-        #: What is or was held back, the latest changed last.
+        #: Quarantined and released requests, in the order of their change.
         self.quarantine: dict[bytes, quarantines.Held] = {}
 
     def apply(self, index: int, command: commands.Command) -> typing.Any:
         """Apply the command at ``index`` and return its reply.
 
-        :raises MountridgeError: where the command is refused; the state is
-            then the same on all controllers too.
+        :raises MountridgeError: the command is refused, and in the same way
+            on all controllers.
         """
         self.view.index = index
         self.claims.clock_s = max(self.claims.clock_s, command.at_s)
         return _APPLY[type(command)](self, index, command)
 
     def apply_payload(self, index: int, payload: bytes) -> typing.Any:
-        """Apply the entry at ``index`` as the log holds it."""
+        """Decode the payload of the entry at ``index`` and apply it."""
         return self.apply(index, commands.decode(payload))
 
-    def _derive(self) -> None:
-        """Make again what is kept unpacked beside the view."""
+    def _decode_entries(self) -> None:
+        """Rebuild the decoded entries from the view."""
         self.rows_by_key = {
             key.partition('/')[2]: views.unpack_row(value)
             for key, value in self.view.by_prefix('row/').items()
@@ -112,16 +112,16 @@
         self.quarantine = {each.digest: each for each in listed}
 
     def routes(self) -> messages.RoutesReply:
-        """Return the routes document held; version 0 where none is."""
+        """Return the routes document; version 0 if there is none."""
         return views.routes_in(self.view)
 
     def other_instances(
-        self, given: instances.Instance
+        self, instance: instances.Instance
     ) -> typing.Iterator[instances.Instance]:
-        """Yield the registrations of other ids than that of ``given``."""
-        for key, held in self.instances.items():
-            if key != given.instance_id:
-                yield held
+        """Yield the registrations of other ids than that of ``instance``."""
+        for key, other in self.instances.items():
+            if key != instance.instance_id:
+                yield other
 
     def snapshot(self) -> bytes:
         """Return the whole state as bytes."""
@@ -156,10 +156,10 @@
         self.claims.floor_s = image.floor_s
         for record in image.claims:
             self.claims.records[record.claim.key] = record
-        self._derive()
+        self._decode_entries()
 
 
-def _put(
+def _put_table(
     machine: StateMachine, index: int, command: commands.PutTable
 ) -> messages.PutReply:
     known = machine.operations.get(command.operation_id)
@@ -181,10 +181,10 @@
             machine.version, index, command.who, command.at_s
         )
         machine.versions.append(record)
-        del machine.versions[:-KEPT_VERSIONS]
+        del machine.versions[:-MAX_VERSIONS]
         reply = messages.PutReply(True, machine.version, index, [])
     machine.operations[command.operation_id] = reply
-    if len(machine.operations) > KEPT_OPERATIONS:
+    if len(machine.operations) > MAX_OPERATIONS:
         del machine.operations[next(iter(machine.operations))]
     return reply
 
@@ -232,14 +232,14 @@
     machine: StateMachine, index: int, command: commands.CloseClaim
 ) -> messages.Outcome:
     outcome = command.outcome
-    if len(outcome.answer) > MAX_KEPT_ANSWER:
+    if len(outcome.answer) > MAX_STORED_ANSWER:
         # Without a status no one takes it for the kept answer.
         outcome = outcome._replace(answer=b'', status=0)
     machine.claims.close(outcome)
     return outcome._replace(answer=b'')
 
 
-def _expire(
+def _expire_claims(
     machine: StateMachine, index: int, command: commands.ExpireClaims
 ) -> int:
     return machine.claims.expire(command.keep_s)
@@ -248,84 +248,87 @@
 def _put_routes(
     machine: StateMachine, index: int, command: commands.PutRoutes
 ) -> messages.RoutesReply:
-    """Hold the document with the highest version; others change nothing."""
+    """Store the document if its version is higher than the stored one."""
     if command.version > machine.routes_version:
         machine.routes_version = command.version
-        held = messages.RoutesReply(command.version, command.source)
-        machine.view.set(index, views.ROUTES_KEY, views.pack(held))
+        stored = messages.RoutesReply(command.version, command.source)
+        machine.view.set(index, views.ROUTES_KEY, views.pack(stored))
     return messages.RoutesReply(machine.routes_version, b'')
 
 
 def _set_instance(
     machine: StateMachine, index: int, command: commands.SetInstance
 ) -> messages.Registered:
-    """Hold what a runner says, or that it is over; old words change nothing.
+    """Update a registration or end it; outdated proposals are ignored.
 
-    The leader has judged the same; this decides where two words that
-    contradict each other were under way to the log together.
+    The leader has checked the same before, but conflicting proposals may
+    have been on their way to the log together.
     """
-    given, now_ms = command.instance, round(command.at_s * 1000)
-    known = machine.instances.get(given.instance_id)
-    if lives.has_ended(given):
-        _end_instance(machine, index, given, known, now_ms)
+    proposed, now_ms = command.instance, round(command.at_s * 1000)
+    known = machine.instances.get(proposed.instance_id)
+    if lives.has_ended(proposed):
+        _end_instance(machine, index, proposed, known, now_ms)
         return messages.Registered()
-    order = lives.classify(given, known, machine.other_instances(given))
+    order = lives.classify(proposed, known, machine.other_instances(proposed))
     if isinstance(order, lives.Refusal):
         return messages.Registered()
     if order is not lives.Order.SAME:
-        _end_at_address(machine, index, given, now_ms)
-    held = lives.updated(given, known, order, now_ms)
-    _hold_instance(machine, index, held)
+        _end_at_address(machine, index, proposed, now_ms)
+    registration = lives.updated(proposed, known, order, now_ms)
+    _store_instance(machine, index, registration)
     return messages.Registered()
 
 
 def _end_instance(
     machine: StateMachine,
     index: int,
-    given: instances.Instance,
+    proposed: instances.Instance,
     known: instances.Instance | None,
     now_ms: int,
 ) -> None:
-    """End a life, but for a later one and one that has said its end."""
+    """End a registration, unless it is a later one or ended for good."""
     if known is not None:
         is_final = lives.has_ended(known) and not known.may_return
-        if is_final and given.born_ms <= known.born_ms:
+        if is_final and proposed.born_ms <= known.born_ms:
             return
-        if given.lives not in (0, known.lives):
+        if proposed.lives not in (0, known.lives):
             return
-        if not given.lives:
-            # Nothing was held when it was proposed.
-            if given.born_ms and given.born_ms < known.born_ms:
+        if not proposed.lives:
+            # There was no registration when it was proposed.
+            if proposed.born_ms and proposed.born_ms < known.born_ms:
                 return
-            given = known._replace(
-                state=given.state,
-                born_ms=max(given.born_ms, known.born_ms),
-                seq=given.seq,
-                may_return=given.may_return,
+            proposed = known._replace(
+                state=proposed.state,
+                born_ms=max(proposed.born_ms, known.born_ms),
+                seq=proposed.seq,
+                may_return=proposed.may_return,
             )
-    _hold_instance(machine, index, given._replace(since_ms=now_ms))
+    _store_instance(machine, index, proposed._replace(since_ms=now_ms))
 
 
 def _end_at_address(
-    machine: StateMachine, index: int, given: instances.Instance, now_ms: int
+    machine: StateMachine,
+    index: int,
+    proposed: instances.Instance,
+    now_ms: int,
 ) -> None:
-    """End the runners that a new one at their address replaces."""
-    for other in list(machine.other_instances(given)):
-        if other.address == given.address and not lives.has_ended(other):
+    """End the runners at the address of a newly registered one."""
+    for other in list(machine.other_instances(proposed)):
+        if other.address == proposed.address and not lives.has_ended(other):
             ended = other._replace(
                 state=instances.LEFT, since_ms=now_ms, may_return=True
             )
-            _hold_instance(machine, index, ended)
+            _store_instance(machine, index, ended)
 
 
 def _set_hall(
     machine: StateMachine, index: int, command: commands.SetHall
 ) -> halls.HallState:
-    """Change a hall where its revision still holds.
+    """Take a hall out of service or back, if it is at the revision.
 
-    What holds already is acknowledged again.
+    A hall that is in the wanted state already is acknowledged as it is.
 
-    :raises HallChanged: another order came between.
+    :raises HallChanged: the hall was changed since that revision.
     """
     known = machine.halls.get(command.hall, halls.never_out(command.hall))
     if known.is_out == command.is_out:
@@ -334,70 +337,72 @@
         raise errors.HallChanged(
             f'at revision {known.revision}, not {command.revision}'
         )
-    held = halls.HallState(command.hall, command.is_out, index, command.at_s)
-    machine.halls[command.hall] = held
+    state = halls.HallState(command.hall, command.is_out, index, command.at_s)
+    machine.halls[command.hall] = state
     key = views.HALL_PREFIX + command.hall
-    machine.view.set(index, key, views.pack(held))
+    machine.view.set(index, key, views.pack(state))
     if not command.is_out:
-        _count_as_cold(machine, index, command.hall)
-    return held
+        _mark_cold(machine, index, command.hall)
+    return state
 
 
-def _count_as_cold(machine: StateMachine, index: int, hall: str) -> None:
-    """Let the runners of a hall be cold until they say otherwise.
+def _mark_cold(machine: StateMachine, index: int, hall: str) -> None:
+    """Consider the runners of a hall cold until their next heartbeat.
 
-    They may have started anew while nothing was sent to them.
+    They may have restarted while no requests were sent to them.
     """
     for instance in list(machine.instances.values()):
         if instance.hall == hall and not lives.has_ended(instance):
             cold = instance._replace(is_cold=True)
-            _hold_instance(machine, index, cold)
+            _store_instance(machine, index, cold)
 
 
-def _hold_request(
+def _quarantine_request(
     machine: StateMachine, index: int, command: commands.QuarantineRequest
 ) -> quarantines.Held:
-    """Hold a request back; past the bound the oldest ones are forgotten."""
+    """Quarantine a request; the oldest ones are removed above the limit."""
     known = machine.quarantine.get(command.digest)
     if known is not None and known.is_held:
         return known
     before = known or quarantines.Held(command.digest, False, 0, 0, 0.0)
-    held = quarantines.Held(
+    entry = quarantines.Held(
         command.digest,
         True,
         before.crashes + command.crashes,
         before.holds + 1,
         command.at_s,
     )
-    _keep_held(machine, index, held)
-    while len(machine.quarantine) > MOST_HELD:
-        _forget_held(machine, index, next(iter(machine.quarantine)))
-    return held
+    _store_quarantined(machine, index, entry)
+    while len(machine.quarantine) > MAX_QUARANTINED:
+        _remove_quarantined(machine, index, next(iter(machine.quarantine)))
+    return entry
 
 
 def _release_request(
     machine: StateMachine, index: int, command: commands.ReleaseRequest
 ) -> quarantines.Held | None:
-    """Let a request be tried once more, or forget that it was held back."""
+    """Release a request for a probe, or remove it from the quarantine."""
     known = machine.quarantine.get(command.digest)
     if known is None or not command.is_probe:
-        _forget_held(machine, index, command.digest)
+        _remove_quarantined(machine, index, command.digest)
         return None
     released = known._replace(is_held=False, since_s=command.at_s)
-    _keep_held(machine, index, released)
+    _store_quarantined(machine, index, released)
     return released
 
 
-def _keep_held(
-    machine: StateMachine, index: int, held: quarantines.Held
+def _store_quarantined(
+    machine: StateMachine, index: int, entry: quarantines.Held
 ) -> None:
-    machine.quarantine.pop(held.digest, None)
-    machine.quarantine[held.digest] = held
-    key = views.QUARANTINE_PREFIX + held.digest.hex()
-    machine.view.set(index, key, views.pack(held))
+    machine.quarantine.pop(entry.digest, None)
+    machine.quarantine[entry.digest] = entry
+    key = views.QUARANTINE_PREFIX + entry.digest.hex()
+    machine.view.set(index, key, views.pack(entry))
 
 
-def _forget_held(machine: StateMachine, index: int, digest: bytes) -> None:
+def _remove_quarantined(
+    machine: StateMachine, index: int, digest: bytes
+) -> None:
     if machine.quarantine.pop(digest, None) is not None:
         key = views.QUARANTINE_PREFIX + digest.hex()
         machine.view.set(index, key, None)
@@ -406,40 +411,40 @@
 def _next_version(
     machine: StateMachine, index: int, command: commands.NextVersion
 ) -> int:
-    """Return the entry's own index: no other entry ever has it."""
+    """Return the index of the entry, which no other entry has."""
     return index
 
 
-def _hold_instance(
+def _store_instance(
     machine: StateMachine, index: int, instance: instances.Instance
 ) -> None:
-    """Keep a registration; of those that left only the newest are kept."""
+    """Store a registration; only the newest ended ones are kept."""
     key = views.INSTANCE_PREFIX + instance.instance_id
     machine.instances.pop(instance.instance_id, None)
     machine.instances[instance.instance_id] = instance
     machine.view.set(index, key, views.pack(instance))
     left = [i for i in machine.instances.values() if i.state == instances.LEFT]
-    for oldest in left[:-KEPT_LEFT]:
+    for oldest in left[:-MAX_ENDED]:
         del machine.instances[oldest.instance_id]
         key = views.INSTANCE_PREFIX + oldest.instance_id
         machine.view.set(index, key, None)
 
 
 _APPLY: dict[type, typing.Callable] = {
-    commands.PutTable: _put,
+    commands.PutTable: _put_table,
     commands.SetMember: _set_member,
     commands.OpenClaim: _open_claim,
     commands.CloseClaim: _close_claim,
-    commands.ExpireClaims: _expire,
+    commands.ExpireClaims: _expire_claims,
     commands.PutRoutes: _put_routes,
     commands.SetInstance: _set_instance,
     commands.NextVersion: _next_version,
     commands.SetHall: _set_hall,
-    commands.QuarantineRequest: _hold_request,
+    commands.QuarantineRequest: _quarantine_request,
     commands.ReleaseRequest: _release_request,
 }
 
 
 def refusal(problem: errors.MountridgeError) -> messages.Failure:
-    """Return the reply for a command that the state machine refused."""
+    """Return the reply to a command that the state machine refused."""
     return messages.Failure(problem.code, str(problem), '')
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -885,7 +885,7 @@
     ),
     Mutant(
         'lives: a second leave is lost', 'statemachine',
-        'if is_final and given.born_ms <= known.born_ms:',
+        'if is_final and proposed.born_ms <= known.born_ms:',
         'if is_final:', 'lives',
     ),
     Mutant(
@@ -895,14 +895,14 @@
     ),
     Mutant(
         'lives: the log takes old leaves', 'statemachine',
-        'if given.lives not in (0, known.lives):',
+        'if proposed.lives not in (0, known.lives):',
         'if False:', 'lives',
     ),
     Mutant(
         'lives: a leave made on nothing held ends a later start',
         'statemachine',
-        'if given.born_ms and given.born_ms < known.born_ms:', 'if False:',
-        'lives', 'nothing was held',
+        'if proposed.born_ms and proposed.born_ms < known.born_ms:',
+        'if False:', 'lives', 'nothing was held',
     ),
     Mutant(
         'warmup: a part goes with a runner to another hall', 'warmup',
