--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -127,7 +127,7 @@
             context.app.nursery = nursery
             leader = members.LeaderClient(context.app)
             if context.knows:
-                leader.follow(context.app.leads)
+                leader.set_leader(context.app.leads)
             began_s = trio.current_time()
 
             async def call(limit_s=5.0):
--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -165,7 +165,7 @@
 
     def _follow_leader(self, sender: typing.Any, address: str) -> None:
         """Let the calls of this process go to the leader at once."""
-        self.leader.follow(address)
+        self.leader.set_leader(address)
 
     async def on_join(self, peer, join: messages.Join) -> messages.Registered:
         """Let a controller take part, as a learner at first."""
--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -110,7 +110,7 @@
             )
         return self._callers[address]
 
-    def follow(self, address: str) -> None:
+    def set_leader(self, address: str) -> None:
         """Ask ``address``, which leads, also what now waits elsewhere."""
         self._current = address
         self._names.setdefault(address, '')
@@ -233,7 +233,7 @@
             await trio.sleep(PAUSE_S)
         if address != self._current:
             logger.info('leader found', address=address, before=self._current)
-        self.follow(address)
+        self.set_leader(address)
         nursery.cancel_scope.cancel()
 
     def _close_unused(self) -> None:
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1026,7 +1026,8 @@
     ),
     Mutant(
         'losses: a box does not follow its own replica', 'formation',
-        'self.leader.follow(address)', 'pass', 'losses', 'its replica follows',
+        'self.leader.set_leader(address)', 'pass', 'losses',
+        'its replica follows',
     ),
     Mutant(
         'losses: voters stand at random times', 'replication',
