--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The client side of the controllers: calls to the leader, and the lease."""
+"""Client side of the controllers: calls to the leader, lease renewal."""
 
 import typing
 
@@ -18,26 +18,26 @@
     'seed_addresses',
 ]
 
-#: A leader answers well within this; past it others are asked who leads,
-#: while the call goes on waiting. Twice the slowest usual commit.
-LATE_S = 0.2
-#: A call that has no answer by then is sent again, to whoever leads; what a
-#: connection loses is not told. It waits twice as long each time.
+#: After this long without a reply a search for the leader starts, while the
+#: call goes on waiting; longer than a commit usually takes.
+SEARCH_AFTER_S = 0.2
+#: Timeout of the first attempt of a call, since a connection does not report
+#: lost messages; it doubles with each retry.
 ATTEMPT_S = 0.4
-#: A controller that gave no answer is passed over for this long, or until
-#: anything is heard of it.
-SILENT_S = 2.0
-#: Between two questions to one controller that knows no leader. It holds its
-#: answer while it can't tell, so this bounds only what it can't.
-PAUSE_S = 0.05
-#: Least time between two renewals, also where someone hurries.
+#: A controller that did not reply is considered unresponsive for this long,
+#: or until a message from it is received.
+UNRESPONSIVE_S = 2.0
+#: Pause before a controller is asked again who leads. Controllers that know
+#: no leader delay their replies; this limits the rate of immediate errors.
+ASK_INTERVAL_S = 0.05
+#: Least time between two renewals, also if one is requested at once.
 MIN_RENEWAL_S = 0.05
 
 
 def seed_addresses(settings: dict) -> list[str]:
-    """Return where the seeds take messages of other processes.
+    """Return the addresses at which the seeds receive messages.
 
-    Only their hosts are known; the port is the same on all boxes.
+    Only their hosts are configured; the port is the same on all boxes.
     """
     port = settings['bind'].rpartition(':')[2]
     hosts = [seed.partition(':')[0] for seed in settings['entry']['seeds']]
@@ -45,7 +45,7 @@
 
 
 def addresses_by_name(addresses: dict[str, str]) -> dict[str, str]:
-    """Return controllers' addresses by name, of those by identity."""
+    """Return addresses by controller name, given those by identity."""
     return {
         node_id.partition('.')[0]: address
         for node_id, address in addresses.items()
@@ -53,41 +53,41 @@
 
 
 class LeaderClient:
-    """Calls to whichever controller leads, over one connection to each.
+    """Sends calls to the leading controller, over one connection to each.
 
-    The addresses to ask are those of the settings (controllers, or seeds
-    of which only the host is known), and those learnt from answers.
+    The known addresses are those of the settings (controllers, or seeds of
+    which only the host is known) and those received in replies.
     """
 
     def __init__(self, app: application.Application, on_message=None):
         self._app = app
         self._on_message = on_message
         configured = app.settings['controllers']
-        #: Name of the process behind each address; '' for a seed.
+        #: Name of the process at each address; '' for a seed.
         self._names = {configured[name]: name for name in sorted(configured)}
         self.seeds: list[str] = []
         self.update_seeds(app.settings)
         self._callers: dict[str, sockets.Caller] = {}
         self._current = next(iter(self._names))
-        self._silent_until_s: dict[str, float] = {}
-        #: Calls that wait for an answer, with the address that is asked.
-        self._asking: dict[trio.CancelScope, str] = {}
-        #: Set at the end of the search for the leader that goes on.
-        self._searching: trio.Event | None = None
+        self._unresponsive_until_s: dict[str, float] = {}
+        #: Calls that wait for a reply, with their addresses.
+        self._pending: dict[trio.CancelScope, str] = {}
+        #: Set when the current search for the leader ends.
+        self._search_ended: trio.Event | None = None
 
     @property
     def current(self) -> tuple[str, str]:
-        """Name and address of the controller that is asked first."""
+        """Name and address of the controller that is called first."""
         return self._names.get(self._current, ''), self._current
 
     def update_seeds(self, settings: dict) -> None:
-        """Ask the seeds of newer settings too."""
+        """Use the seeds of reloaded settings as well."""
         self.seeds = seed_addresses(settings)
         for address in self.seeds:
             self._names.setdefault(address, '')
 
     def update_controllers(self, controllers: dict[str, str]) -> None:
-        """Take the controllers that the leader names, and forget others."""
+        """Replace the known controllers by those that the leader reports."""
         if not controllers:
             return
         names = {address: name for name, address in controllers.items()}
@@ -102,25 +102,28 @@
     def _caller(self, address: str) -> sockets.Caller:
         if address not in self._callers:
 
-            def heard() -> None:
-                self._silent_until_s.pop(address, None)
+            def on_receive() -> None:
+                self._unresponsive_until_s.pop(address, None)
 
             self._callers[address] = self._app.connect(
-                address, self._names.get(address, ''), self._on_message, heard
+                address,
+                self._names.get(address, ''),
+                self._on_message,
+                on_receive,
             )
         return self._callers[address]
 
     def set_leader(self, address: str) -> None:
-        """Ask ``address``, which leads, also what now waits elsewhere."""
+        """Use ``address`` as the leader; end attempts at other addresses."""
         self._current = address
         self._names.setdefault(address, '')
-        self._silent_until_s.pop(address, None)
-        for scope, asked in self._asking.items():
-            if asked != address:
+        self._unresponsive_until_s.pop(address, None)
+        for scope, called in self._pending.items():
+            if called != address:
                 scope.cancel()
 
-    def _named(self, problem: errors.MountridgeError) -> str:
-        """Return the address of the leader that a refusal names, or ''."""
+    def _address_from(self, problem: errors.MountridgeError) -> str:
+        """Return the address of the leader named in an error, or ''."""
         leader = getattr(problem, 'leader', '')
         address = getattr(problem, 'leader_address', '')
         if address:
@@ -132,119 +135,135 @@
         return ''
 
     async def call(self, message: typing.Any, timeout_s: float):
-        """Return the leader's reply, looking for the leader where needed.
+        """Return the leader's reply; search for the leader if necessary.
 
-        :raises NoController: none answered as the leader in time. The
-            message may have been acted on all the same.
+        :raises NoController: no leader replied in time. The message may
+            nevertheless have been processed.
         """
         problem = errors.NoController()
         wait_s = min(ATTEMPT_S, timeout_s)
-        tried: set[str] = set()
+        attempted: set[str] = set()
         with trio.move_on_after(timeout_s):
             while True:
-                asked = self._current
+                called = self._current
                 try:
-                    return await self._ask(asked, message, wait_s)
-                except errors.NoController as failed:
-                    problem = failed
+                    return await self._attempt(called, message, wait_s)
+                except errors.NoController as failure:
+                    problem = failure
                 wait_s *= 2
-                tried.add(asked)
-                await self._go_on(asked, problem, tried)
+                attempted.add(called)
+                await self._switch_leader(called, problem, attempted)
         raise errors.NoController(str(problem))
 
-    async def _ask(self, asked: str, message: typing.Any, wait_s: float):
-        """Return the reply of ``asked``, unless another is found to lead."""
+    async def _attempt(self, called: str, message: typing.Any, wait_s: float):
+        """Return the reply of ``called``.
 
-        def late() -> None:
-            self._silent_until_s[asked] = self._app.now_s() + SILENT_S
-            self._app.start_task(self._search, asked)
+        :raises NoController: it failed, or another controller leads.
+        """
+
+        def on_delay() -> None:
+            self._unresponsive_until_s[called] = (
+                self._app.now_s() + UNRESPONSIVE_S
+            )
+            self._app.start_task(self._search, called)
 
         with trio.CancelScope() as scope:
-            self._asking[scope] = asked
+            self._pending[scope] = called
             try:
-                caller = self._caller(asked)
-                return await caller.call(message, wait_s, (LATE_S, late))
+                caller = self._caller(called)
+                return await caller.call(
+                    message, wait_s, (SEARCH_AFTER_S, on_delay)
+                )
             finally:
-                del self._asking[scope]
-        raise errors.NoController('another one leads')
+                del self._pending[scope]
+        raise errors.NoController('another controller leads')
 
-    async def _go_on(
-        self, asked: str, problem: errors.NoController, tried: set[str]
+    async def _switch_leader(
+        self, called: str, problem: errors.NoController, attempted: set[str]
     ) -> None:
-        """Go on to the leader that was named, or look for it.
+        """Switch to the leader named in an error, or search for it.
 
-        A name is followed once in a call: it may be out of date. Where
-        another call has gone on from ``asked`` meanwhile, its choice stays.
+        Each call uses a named leader only once, as the name may be out of
+        date. If another call has already switched from ``called``, its
+        choice is kept.
         """
-        if asked != self._current:
+        if called != self._current:
             return
-        named = self._named(problem)
-        if named and named not in tried and not self._is_silent(named):
+        named = self._address_from(problem)
+        if (
+            named
+            and named not in attempted
+            and not self._is_unresponsive(named)
+        ):
             self._current = named
             return
         if not isinstance(problem, errors.NotLeader):
-            self._silent_until_s[asked] = self._app.now_s() + SILENT_S
-        await self._search(named or asked)
+            self._unresponsive_until_s[called] = (
+                self._app.now_s() + UNRESPONSIVE_S
+            )
+        await self._search(named or called)
 
-    def _is_silent(self, address: str) -> bool:
-        return self._silent_until_s.get(address, 0) > self._app.now_s()
+    def _is_unresponsive(self, address: str) -> bool:
+        return self._unresponsive_until_s.get(address, 0) > self._app.now_s()
 
-    async def _search(self, besides: str) -> None:
-        """Ask all controllers at once until one says that it leads.
+    async def _search(self, excluded: str) -> None:
+        """Ask all controllers concurrently until one reports that it leads.
 
-        One search serves all calls. ``besides`` was asked and does not lead
-        as far as can be told here, so others name it no more.
+        All calls share one search. ``excluded`` has failed to reply as the
+        leader, so the controllers are asked not to name it.
         """
-        if self._searching is not None:
-            # It ends with the call that began it; a call that still has no
-            # leader then begins another.
-            await self._searching.wait()
+        if self._search_ended is not None:
+            # It ends with the call that started it; a call that still has
+            # no leader then starts another.
+            await self._search_ended.wait()
             return
-        self._searching = trio.Event()
+        self._search_ended = trio.Event()
         try:
             async with trio.open_nursery() as nursery:
                 for address in list(self._names):
                     nursery.start_soon(
-                        self._ask_who_leads, address, besides, nursery
+                        self._ask_who_leads, address, excluded, nursery
                     )
         finally:
-            self._searching.set()
-            self._searching = None
+            self._search_ended.set()
+            self._search_ended = None
             self._close_unused()
 
     async def _ask_who_leads(
-        self, address: str, besides: str, nursery: trio.Nursery
+        self, address: str, excluded: str, nursery: trio.Nursery
     ) -> None:
-        question = messages.WhoLeads(besides)
+        question = messages.WhoLeads(excluded)
         while True:
             try:
                 await self._caller(address).call(question, ATTEMPT_S)
                 break
             except errors.MountridgeError as problem:
                 logger.debug(
-                    'no leader there', address=address, reason=str(problem)
+                    'controller does not lead',
+                    address=address,
+                    reason=str(problem),
                 )
                 known = set(self._names)
-                named = self._named(problem)
+                named = self._address_from(problem)
                 if named and named not in known:
                     nursery.start_soon(
-                        self._ask_who_leads, named, besides, nursery
+                        self._ask_who_leads, named, excluded, nursery
                     )
-            await trio.sleep(PAUSE_S)
+            await trio.sleep(ASK_INTERVAL_S)
         if address != self._current:
             logger.info('leader found', address=address, before=self._current)
         self.set_leader(address)
         nursery.cancel_scope.cancel()
 
     def _close_unused(self) -> None:
-        """Close what only a search has opened: each costs heartbeats."""
-        used = {self._current, *self._asking.values()}
+        """Close connections that only a search used; each sends heartbeats."""
+        used = {self._current, *self._pending.values()}
         for address in set(self._callers) - used:
             self._callers.pop(address).close()
 
 
 class LeaseRenewer:
-    """Renews a lease for ever and brings its view up to date."""
+    """Renews a lease continuously and updates its view."""
 
     def __init__(
         self,
@@ -258,31 +277,31 @@
         self._held = held
         self._renewal = renewal
         self._settings = app.settings['lease']
-        self._hurry = trio.Event()
+        self._wake_event = trio.Event()
         self._renewed = trio.Event()
         self._was_valid = False
-        # What is held may be out of date; a timer would renew it late.
+        # After a suspension the view may be outdated; renew at once.
         app.on_gap.append(lambda gap_s: self.wake())
 
     async def run(self) -> None:
-        """Renew at each interval, or sooner where someone hurries."""
+        """Renew at each interval, or earlier on request."""
         while True:
-            self._hurry = trio.Event()
+            self._wake_event = trio.Event()
             await self._renew()
             self._renewed.set()
             self._renewed = trio.Event()
             await trio.sleep(MIN_RENEWAL_S)
-            rest_s = self._settings['renew_s'] - MIN_RENEWAL_S
-            with trio.move_on_after(rest_s):
-                await self._hurry.wait()
+            remaining_s = self._settings['renew_s'] - MIN_RENEWAL_S
+            with trio.move_on_after(remaining_s):
+                await self._wake_event.wait()
 
     def wake(self) -> None:
-        """Acknowledge pushed changes with a renewal of their own, soon."""
-        self._hurry.set()
+        """Request a renewal soon, which acknowledges pushed changes."""
+        self._wake_event.set()
 
     async def renew_now(self) -> None:
-        """Renew as soon as may be, and return when that is done."""
-        self._hurry.set()
+        """Renew as soon as possible; return after the renewal."""
+        self._wake_event.set()
         await self._renewed.wait()
 
     async def _renew(self) -> None:
@@ -301,11 +320,11 @@
                 self._app.metrics.incr('lease.older_grant')
         except errors.MountridgeError as problem:
             self._app.metrics.incr('lease.failed')
-            logger.debug('renewal failed', reason=str(problem))
-        self._tell()
+            logger.debug('lease renewal failed', reason=str(problem))
+        self._report_validity()
 
-    def _tell(self) -> None:
-        """Log and signal where the lease was gained or lost."""
+    def _report_validity(self) -> None:
+        """Log and signal that the lease was gained or lost."""
         valid = self._held.is_valid(self._app.now_s())
         if valid == self._was_valid:
             return
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -425,7 +425,7 @@
     ),
     Mutant(
         'entry: silence lasts though one is heard', 'members',
-        '                self._silent_until_s.pop(address, None)',
+        '                self._unresponsive_until_s.pop(address, None)',
         '                pass', 'entry',
         'heard of again',
     ),
@@ -996,22 +996,22 @@
     ),
     Mutant(
         'losses: a late call looks for nobody', 'members',
-        'self._app.start_task(self._search, asked)', 'pass', 'losses',
+        'self._app.start_task(self._search, called)', 'pass', 'losses',
         'asked at once',
     ),
     Mutant(
         'losses: calls wait on at a lost leader', 'members',
-        '            if asked != address:\n', '            if False:\n',
+        '            if called != address:\n', '            if False:\n',
         'losses', 'Calls that wait',
     ),
     Mutant(
         'losses: a search leaves its connections open', 'members',
-        'used = {self._current, *self._asking.values()}',
+        'used = {self._current, *self._pending.values()}',
         'used = set(self._callers)', 'losses', 'opened is closed',
     ),
     Mutant(
         'losses: names are followed again and again', 'members',
-        'if named and named not in tried and', 'if named and', 'losses',
+        '            and named not in attempted\n', '', 'losses',
         'out of date',
     ),
     Mutant(
