--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -10,6 +10,7 @@
 import types
 
 from behave import given, then, when
+from hypothesis import example
 from hypothesis import given as for_all
 from hypothesis import Phase, settings, strategies
 import trio
@@ -672,6 +673,7 @@
     }  # fmt: skip
 
     @_check_many(300, _mutated(good))
+    @example(json.dumps(good | {'pace': -1}).encode())
     def read(body):
         engine = platform_engine.PlatformEngine(_Calls(body))
         try:
