--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -66,13 +66,13 @@
     else:
         state = rest[3] if len(rest) > 3 else instances.READY
         letter, born_s, seq = rest[0], int(rest[1]), int(rest[2])
-        world.say(_instance(first, letter, born_s, state), seq)
+        world.heartbeat(_instance(first, letter, born_s, state), seq)
 
 
 def _held(world):
     """Return what is held as the tables tell it."""
     told = []
-    for held in world.live():
+    for held in world.active():
         letter = LETTERS[held.address]
         line = f'{held.instance_id} {letter} {held.born_ms // 1000}'
         state = '' if held.state == instances.READY else f' {held.state}'
@@ -108,9 +108,9 @@
 @given('a replicated state in which a runner has started again')
 def restarted_state(context):
     world = context.world = lives_world.World()
-    world.say(_instance('a', 'X', 990), 5)
+    world.heartbeat(_instance('a', 'X', 990), 5)
     context.former = world.machine.instances['a']
-    world.say(_instance('a', 'X', 995), 1)
+    world.heartbeat(_instance('a', 'X', 995), 1)
 
 
 @when('a {word} of its former life is committed after that')
@@ -165,7 +165,7 @@
         for kind, key, life, seq in words:
             born_s = _start_s(key, life)
             if kind == 'beat':
-                world.say(_instance(key, _place(key, life), born_s), seq)
+                world.heartbeat(_instance(key, _place(key, life), born_s), seq)
             elif kind == 'leave':
                 world.leave(key, born_s * 1000)
             else:
@@ -562,11 +562,11 @@
 
 @when('a runner that is held at X is followed by one with {what} at X')
 def unnamed_comes(context, what):
-    context.world.say(_instance('a', 'X', 990), 1)
+    context.world.heartbeat(_instance('a', 'X', 990), 1)
     other = _instance('b', 'X', 995)
     changed = {'another service': {'service': 't'}}
     changed = changed.get(what, {'hall': 'south'})
-    context.problem = context.world.say(other._replace(**changed), 1)
+    context.problem = context.world.heartbeat(other._replace(**changed), 1)
 
 
 @then('the answer is {code:d}, and the runner at X stays')
@@ -577,10 +577,10 @@
 
 @when('a held runner drains after its service was taken out of the routes')
 def drains_unnamed(context):
-    context.world.say(_instance('a', 'X', 990), 1)
+    context.world.heartbeat(_instance('a', 'X', 990), 1)
     context.services.clear()
     draining = _instance('a', 'X', 990, instances.DRAINING)
-    assert context.world.say(draining, 2) is None
+    assert context.world.heartbeat(draining, 2) is None
 
 
 @then('the registry has it as draining')
--- a/features/worlds/lives.py
+++ b/features/worlds/lives.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A leader's registry on a log that commits at once, and its clock."""
+"""The leader's registry of runners, on a log that commits immediately."""
 
 import collections
 
@@ -11,12 +11,12 @@
 from mountridge import messages
 from mountridge.state import statemachine
 
-#: When the scenarios begin, Unix time; starts are told in seconds too.
+#: Unix time at the beginning of a scenario.
 BEGIN_S = 1000.0
 
 
 class _Log:
-    """A log of one controller that commits at once."""
+    """The log of a single controller; commits immediately."""
 
     def __init__(self, world):
         self.world = world
@@ -31,7 +31,7 @@
 
 
 class World:
-    """The registry of whoever leads, and the state that all hold."""
+    """The leader's registry, the replicated state, and a clock."""
 
     def __init__(self):
         self.at_s = BEGIN_S
@@ -52,41 +52,41 @@
         return self.at_s
 
     def change_leader(self):
-        """Let a controller lead that has read a snapshot."""
+        """Make a controller the leader that has restored a snapshot."""
         restored = statemachine.StateMachine()
         restored.restore(self.machine.snapshot())
         self.machine = restored
         self.registry.machine = restored
         self.registry.begin_term()
 
-    def say(self, instance, seq):
-        """Take a heartbeat; return the error that answers it, or None."""
+    def heartbeat(self, instance, seq):
+        """Receive a heartbeat; return the error in reply, or None."""
         return self._call(
             self.registry.on_heartbeat, messages.Heartbeat(instance, seq)
         )
 
     def leave(self, key, born_ms=0, lives=0):
-        """Take a leave; return the error that answers it, or None."""
+        """Receive a leave; return the error in reply, or None."""
         return self._call(
             self.registry.on_leave, messages.Leave(key, born_ms, lives)
         )
 
     def wait(self, span_s):
-        """Let time go by, in which nothing is heard."""
+        """Advance the clock without messages, then expire runners."""
         self.at_s += span_s
         trio.run(self.registry.expire)
 
-    def _call(self, call, message):
+    def _call(self, handler, message):
         try:
-            trio.run(call, None, message)
+            trio.run(handler, None, message)
         except Exception as problem:
             return problem
         return None
 
-    def live(self):
-        """Return the registrations that are not over."""
+    def active(self):
+        """Return the registrations that have not ended."""
         return [
-            held
-            for held in self.machine.instances.values()
-            if held.state != instances.LEFT
+            instance
+            for instance in self.machine.instances.values()
+            if instance.state != instances.LEFT
         ]
