--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on lives of runners: which word counts, and what can't be read."""
+"""Steps on incarnations of runners, and on outdated or malformed messages."""
 
 import json
 import logging
@@ -41,7 +41,7 @@
 
 
 def _check_many(count, *drawn):
-    """Return a decorator that runs a check on ``count`` drawn cases."""
+    """Return a decorator that runs a check on ``count`` random cases."""
     wrap = settings(
         max_examples=count, derandomize=True, deadline=None, database=None,
         phases=[Phase.explicit, Phase.generate],
@@ -49,12 +49,12 @@
     return lambda check: wrap(for_all(*drawn)(check))()
 
 
-# Words.
+# Messages.
 
 
-def _hear(world, word):
-    """Take one word of a table of words."""
-    first, *rest = word.split()
+def _receive(world, message):
+    """Receive one message in the notation of the feature."""
+    first, *rest = message.split()
     if first == 'wait':
         world.wait(0)
         world.wait(float(rest[0]))
@@ -69,220 +69,229 @@
         world.heartbeat(_instance(first, letter, born_s, state), seq)
 
 
-def _held(world):
-    """Return what is held as the tables tell it."""
-    told = []
-    for held in world.active():
-        letter = LETTERS[held.address]
-        line = f'{held.instance_id} {letter} {held.born_ms // 1000}'
-        state = '' if held.state == instances.READY else f' {held.state}'
-        told.append(f'{line} {held.lives}{state}')
-    return ', '.join(sorted(told)) or 'nothing'
+def _registered(world):
+    """Return the registrations in the notation of the feature."""
+    lines = []
+    for each in world.active():
+        letter = LETTERS[each.address]
+        line = f'{each.instance_id} {letter} {each.born_ms // 1000}'
+        state = '' if each.state == instances.READY else f' {each.state}'
+        lines.append(f'{line} {each.lives}{state}')
+    return ', '.join(sorted(lines)) or 'nothing'
 
 
-@given('a registry that has heard nothing')
-def silent_registry(context):
+@given('an empty registry')
+def empty_registry(context):
     context.worlds = [lives_world.World(), lives_world.World()]
 
 
-@when('it hears {words}')
-def hear(context, words):
+@when('it receives {received}')
+def receive(context, received):
     steady, changing = context.worlds
-    for word in words.split(', '):
-        _hear(steady, word)
+    for message in received.split(', '):
+        _receive(steady, message)
         changing.change_leader()
-        _hear(changing, word)
+        _receive(changing, message)
 
 
-@then('it holds {held}, also where a new leader takes each word')
-def check_held(context, held):
+@then('it has registered {expected}, also with a new leader for each message')
+def check_registered(context, expected):
     for world in context.worlds:
-        assert _held(world) == held, _held(world)
+        assert _registered(world) == expected, _registered(world)
 
 
-@then('it holds {held} while one leader takes all words')
-def check_held_steadily(context, held):
-    assert _held(context.worlds[0]) == held, _held(context.worlds[0])
+@then('it has registered {expected} with one leader for all messages')
+def check_registered_steadily(context, expected):
+    assert _registered(context.worlds[0]) == expected, _registered(
+        context.worlds[0]
+    )
 
 
-@given('a replicated state in which a runner has started again')
+@given('a replicated state in which a runner has restarted')
 def restarted_state(context):
     world = context.world = lives_world.World()
     world.heartbeat(_instance('a', 'X', 990), 5)
-    context.former = world.machine.instances['a']
+    context.earlier = world.machine.instances['a']
     world.heartbeat(_instance('a', 'X', 995), 1)
 
 
-@when('a {word} of its former life is committed after that')
-def commit_late(context, word):
-    said = context.former._replace(seq=6)
-    if word == 'leave':
-        said = said._replace(state=instances.LEFT)
-    command = commands.SetInstance(said, lives_world.BEGIN_S)
+@when('a {kind} of its earlier incarnation is committed afterwards')
+def commit_late(context, kind):
+    proposed = context.earlier._replace(seq=6)
+    if kind == 'leave':
+        proposed = proposed._replace(state=instances.LEFT)
+    command = commands.SetInstance(proposed, lives_world.BEGIN_S)
     context.world.machine.apply(9, command)
 
 
-@when('a leave of an older start, made on nothing held, is committed after it')
-def commit_unheld_leave(context):
-    said = instances.Instance('a', '', '', '', '', 0, instances.LEFT, 990)
-    command = commands.SetInstance(said, lives_world.BEGIN_S)
+@when(
+    'a leave with an earlier start, proposed on an empty state, is committed'
+)
+def commit_early_leave(context):
+    proposed = instances.Instance('a', '', '', '', '', 0, instances.LEFT, 990)
+    command = commands.SetInstance(proposed, lives_world.BEGIN_S)
     context.world.machine.apply(9, command)
 
 
-@then('the new life holds')
-def check_new_life(context):
-    assert _held(context.world) == 'a X 995 2', _held(context.world)
+@then('the new incarnation is still registered')
+def check_new_incarnation(context):
+    assert _registered(context.world) == 'a X 995 2', _registered(
+        context.world
+    )
 
 
-@given('words of runners that start again, at few addresses')
-def drawn_words(context):
-    word = strategies.tuples(
+@given('messages of runners that restart, at few addresses')
+def drawn_messages(context):
+    message = strategies.tuples(
         strategies.sampled_from(['beat', 'beat', 'leave', 'leader']),
         strategies.sampled_from('abc'),
         strategies.integers(0, 3),
         strategies.integers(1, 3),
     )
-    context.words = strategies.lists(word, max_size=24)
+    context.messages = strategies.lists(message, max_size=24)
 
 
-def _start_s(key, life):
-    """Return a start that no life of another runner has."""
-    return 900 + 3 * life + 'abc'.index(key)
+def _start_s(key, number):
+    """Return a start time that is unique among all runners."""
+    return 900 + 3 * number + 'abc'.index(key)
 
 
-def _place(key, life):
-    return 'XY'[(life + 'abc'.index(key)) % 2]
+def _letter(key, number):
+    return 'XY'[(number + 'abc'.index(key)) % 2]
 
 
-@when('they come late, twice, and with leaders between')
-def play_words(context):
+@when('they arrive in any order, repeatedly, and with changes of the leader')
+def play_messages(context):
     context.plays = []
 
-    @_check_many(300, context.words)
-    def play(words):
+    @_check_many(300, context.messages)
+    def play(drawn):
         world = lives_world.World()
         steps = []
-        for kind, key, life, seq in words:
-            born_s = _start_s(key, life)
+        for kind, key, number, seq in drawn:
+            born_s = _start_s(key, number)
             if kind == 'beat':
-                world.heartbeat(_instance(key, _place(key, life), born_s), seq)
+                world.heartbeat(
+                    _instance(key, _letter(key, number), born_s), seq
+                )
             elif kind == 'leave':
                 world.leave(key, born_s * 1000)
             else:
                 world.change_leader()
             steps.append(dict(world.machine.instances))
-        context.plays.append((words, steps))
+        context.plays.append((drawn, steps))
 
 
-@then('each id has the latest start heard, and each address one runner')
+@then('each id has the latest start received, and each address one runner')
 def check_latest(context):
-    for words, steps in context.plays:
-        for held in steps:
-            live = [h.address for h in held.values() if h.state != 'left']
-            assert len(live) == len(set(live)), held
-        beats = {(key, life) for kind, key, life, _ in words if kind == 'beat'}
-        for key, life in sorted(beats):
-            born_s, place = _start_s(key, life), _place(key, life)
+    for drawn, steps in context.plays:
+        for known in steps:
+            active = [i.address for i in known.values() if i.state != 'left']
+            assert len(active) == len(set(active)), known
+        beats = {
+            (key, number) for kind, key, number, _ in drawn if kind == 'beat'
+        }
+        for key, number in sorted(beats):
+            born_s, letter = _start_s(key, number), _letter(key, number)
             later = any(
-                _place(*other) == place and _start_s(*other) > born_s
+                _letter(*other) == letter and _start_s(*other) > born_s
                 for other in beats
             )
-            held = steps[-1].get(key)
-            assert later or held.born_ms >= born_s * 1000, (
+            known = steps[-1].get(key)
+            assert later or known.born_ms >= born_s * 1000, (
                 key,
-                life,
-                held,
-                words,
+                number,
+                known,
+                drawn,
             )
 
 
-@then('no word brings back a life that has left')
+@then('no message registers an incarnation that has left')
 def check_no_return(context):
-    for words, steps in context.plays:
-        over = set()
-        for (kind, key, life, _), held in zip(words, steps):
-            if kind == 'leave' and held[key].state == 'left':
-                over.add((key, held[key].born_ms))
-            for live in held.values():
-                is_back = (live.instance_id, live.born_ms) in over
-                assert live.state == 'left' or not is_back, words
+    for drawn, steps in context.plays:
+        ended = set()
+        for (kind, key, _, _), known in zip(drawn, steps):
+            if kind == 'leave' and known[key].state == 'left':
+                ended.add((key, known[key].born_ms))
+            for each in known.values():
+                has_returned = (each.instance_id, each.born_ms) in ended
+                assert each.state == 'left' or not has_returned, drawn
 
 
 # Gateways.
 
 
-@given('a gateway that knows a runner which was {spoiled}')
-def spoiled_runner(context, spoiled):
+@given('a gateway that knows a runner which was {state}')
+def known_runner(context, state):
     known = context.known = backends.Backends('g')
     first = _instance('a', 'X', 990)._replace(lives=1)
     context.others = [_instance('b', 'Y', 990)._replace(lives=1)]
     known.follow([first, *context.others])
-    former = context.former = known.by_id['a']
-    former.began(1.0)
-    if spoiled == 'left out':
-        former.failed(1.0)
-        former.failed(1.0)
-    former.replaced = spoiled == 'replaced'
-    if spoiled == 'refusing':
-        known.refused(former, 1.0)
-    if spoiled == 'slow':
+    earlier = context.earlier = known.by_id['a']
+    earlier.began(1.0)
+    if state == 'excluded':
+        earlier.failed(1.0)
+        earlier.failed(1.0)
+    earlier.replaced = state == 'replaced'
+    if state == 'refusing':
+        known.refused(earlier, 1.0)
+    if state == 'slow':
         known.report(messages.RunnerLoad('a', 0, 0, 900, 0, True), 1.0)
-    if spoiled == 'full':
+    if state == 'full':
         known.report(messages.RunnerLoad('a', 4, 9, 100, 0, True), 1.0)
-    context.spoiled = spoiled
 
 
-@when('the runner starts again under its id')
-def start_again(context):
+@when('the runner restarts under its id')
+def restart(context):
     context.restarted = _instance('a', 'X', 995)._replace(lives=2)
-    _follow(context, [context.restarted, *context.others])
+    _update_runners(context, [context.restarted, *context.others])
 
 
 @when('another runner registers at its address')
 def another_registers(context):
-    _follow(context, [_instance('c', 'X', 995), *context.others])
+    _update_runners(context, [_instance('c', 'X', 995), *context.others])
 
 
-def _follow(context, registered):
-    context.forgotten = context.known.follow(registered)
+def _update_runners(context, registered):
+    context.to_close = context.known.follow(registered)
 
 
-def _check_taken(context):
+def _check_selected(context):
     picked = context.known.pick('s', 'north', {'b'}, 1, random.Random(1), 1.01)
     assert picked and picked.backend.instance == context.restarted, picked
-    assert picked.backend is not context.former
+    assert picked.backend is not context.earlier
     assert (picked.backend.own, picked.load) == (0, 0), picked.load
     assert picked.backend.pace == 1.0
 
 
-@then('it is taken like any other, and its address is to be forgotten')
-def check_taken(context):
-    _check_taken(context)
-    assert context.forgotten == [ADDRESSES['X']], context.forgotten
+@then('it is selected like any other, and connections to it are to be closed')
+def check_selected(context):
+    _check_selected(context)
+    assert context.to_close == [ADDRESSES['X']], context.to_close
 
 
-@then('its address is to be forgotten')
-def check_forgotten(context):
-    assert context.forgotten == [ADDRESSES['X']], context.forgotten
+@then('connections to its address are to be closed')
+def check_to_close(context):
+    assert context.to_close == [ADDRESSES['X']], context.to_close
 
 
-@when('an answer of the former life comes late')
-def late_answer(context):
-    context.former.ended()
-    context.former.failed(1.0)
-    context.former.replaced = True
-    context.known.refused(context.former, 1.0)
+@when('a response of the earlier incarnation arrives late')
+def late_response(context):
+    context.earlier.ended()
+    context.earlier.failed(1.0)
+    context.earlier.replaced = True
+    context.known.refused(context.earlier, 1.0)
 
 
-@then('it is taken like any other')
-def check_still_taken(context):
-    _check_taken(context)
+@then('it is selected like any other')
+def check_still_selected(context):
+    _check_selected(context)
 
 
 # Connections.
 
 
-@given('a runner on loopback, and kept connections to it')
+@given('a runner on loopback, and a pool of connections to it')
 def loopback_runner(context):
     context.now_s = 0.0
     context.opened = 0
@@ -291,12 +300,12 @@
     async def serve(stream):
         context.opened += 1
         while await stream.receive_some(4096):
-            if context.breaks:
+            if context.disconnects:
                 return
-            answer = b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n'
-            await stream.send_all(answer + context.told + b'\r\n')
+            head = b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n'
+            await stream.send_all(head + context.keep_alive + b'\r\n')
 
-    context.breaks, context.told = False, b''
+    context.disconnects, context.keep_alive = False, b''
     context.pool, context.serve = pool, serve
 
 
@@ -313,20 +322,20 @@
     trio.run(main)
 
 
-def _ask(context, address):
+def _request(context, address):
     host = [(b'Host', b'a')]
     return context.pool.request(address, b'GET', b'/', host, b'', None)
 
 
-@when('it tells so, and another request comes after {rest_s:g} s')
-def tell_kept(context, rest_s):
-    told = context.scenario.name.split('"')[1]
-    if told != 'nothing':
-        context.told = b'Keep-Alive: %s\r\n' % told.encode()
+@when('it sends that header, and another request follows after {idle_s:g} s')
+def send_keep_alive(context, idle_s):
+    sent = context.scenario.name.split('"')[1]
+    if sent != 'nothing':
+        context.keep_alive = b'Keep-Alive: %s\r\n' % sent.encode()
 
     async def script(address):
-        for span_s in (rest_s, 0.0):
-            async with _ask(context, address) as reply:
+        for span_s in (idle_s, 0.0):
+            async with _request(context, address) as reply:
                 await reply.whole()
             context.now_s += span_s
 
@@ -338,38 +347,38 @@
     assert context.opened == count, context.opened
 
 
-@when('it is told to have started again, while a request is under way')
-def told_again(context):
+@when('a restart is reported while a request is in progress')
+def restart_during_request(context):
     async def script(address):
-        async with _ask(context, address) as reply:
+        async with _request(context, address) as reply:
             await reply.whole()
         context.now_s += 1
-        async with _ask(context, address) as reply:
+        async with _request(context, address) as reply:
             assert context.opened == 1, context.opened
             context.now_s += 1
             await context.pool.forget(address)
             await reply.whole()
         context.now_s += 1
-        async with _ask(context, address) as reply:
+        async with _request(context, address) as reply:
             await reply.whole()
 
     _on_loopback(context, script)
 
 
-@then('no connection of before is used again')
+@then('no earlier connection is reused')
 def check_opened(context):
     assert context.opened == 2, context.opened
 
 
-@when('it breaks off while a request is under way')
-def breaks_off(context):
-    context.breaks = True
+@when('the runner disconnects while a request is in progress')
+def disconnect(context):
+    context.disconnects = True
     context.problem = None
 
     async def script(address):
         try:
-            async with _ask(context, address):
-                raise AssertionError('it was answered')
+            async with _request(context, address):
+                raise AssertionError('the request was answered')
         except errors.MountridgeError as problem:
             context.problem = problem
 
@@ -381,10 +390,10 @@
     assert context.problem.outcome == errors.UNKNOWN, context.problem
 
 
-# Malformed words.
+# Malformed messages.
 
-#: Fields of the project's own form, and as the platform spells them.
-SPELT = {
+#: Native names of fields, and the platform's names for them.
+PLATFORM_NAMES = {
     'hall': 'zone', 'software': 'version', 'born_ms': 'born',
     'cold_ms': 'cold-remaining-ms',
 }  # fmt: skip
@@ -395,7 +404,7 @@
 }  # fmt: skip
 NAMED = {
     'service': 'service', 'address': 'address', 'state': 'state',
-    'slots': 'slots', 'count': 'seq', 'start': 'born_ms',
+    'slots': 'slots', 'sequence number': 'seq', 'start': 'born_ms',
 }  # fmt: skip
 VALUES = {
     'a null {}': None, 'a negative {}': -1, 'a fraction as {}': 1.5,
@@ -407,16 +416,14 @@
     'a huge number of slots': {'slots': 10**30},
     'a negative cold time': {'cold_ms': -1},
     'an unknown state': {'state': 'resting'},
-    'a state of ours only': {'state': instances.LEFT},
+    'an internal state': {'state': instances.LEFT},
     'a number as state': {'state': 1},
     'an empty service': {'service': ''},
     'a very long service': {'service': 's' * 5000},
-    'an address with no port': {'address': '10.0.0.1'},
-    'an address by name': {'address': 'runner:80'},
+    'an address without a port': {'address': '10.0.0.1'},
+    'a host name as address': {'address': 'runner:80'},
     'a port over 65535': {'address': '10.0.0.1:65536'},
-    'an address in digits of another script': {
-        'address': '\u0661\u0660.0.0.1:80'
-    },
+    'an address in non-ASCII digits': {'address': '\u0661\u0660.0.0.1:80'},
 }
 IDS = {
     'an empty id': b'',
@@ -425,27 +432,29 @@
     'a slash in its id': b'i/1',
 }
 BODIES = {
-    'a list as body': b'[]',
+    'an array as body': b'[]',
     'an empty body': b'',
-    'half of a body': b'{"service":"s","add',
-    'bytes that are no UTF-8': b'\xff\xfe{}',
+    'a truncated body': b'{"service":"s","add',
+    'invalid UTF-8': b'\xff\xfe{}',
     'a body nested 30000 deep': b'{"x":' + b'[' * 30000,
     'a body of 1 MB': b' ' * (1 << 20),
 }
 
 
 def _spell(spelling, fields):
-    """Return a heartbeat's or leave's body in a spelling."""
+    """Return the body of a heartbeat or leave in one set of wire names."""
     if spelling is entryapi.NATIVE:
         return json.dumps(fields).encode()
-    return json.dumps({SPELT.get(k, k): v for k, v in fields.items()}).encode()
+    return json.dumps(
+        {PLATFORM_NAMES.get(k, k): v for k, v in fields.items()}
+    ).encode()
 
 
 def _malformed(spelling, wrong, good):
-    """Return the id in the path, and the body, of a malformed word."""
+    """Return the id in the path, and the body, of a malformed message."""
     if wrong in IDS:
         return IDS[wrong], _spell(spelling, good)
-    if wrong == 'bytes that are no UTF-8 in an unknown field':
+    if wrong == 'invalid UTF-8 in an unknown field':
         return b'a', _spell(spelling, good)[:-1] + b',"x":"\xff"}'
     if wrong in BODIES:
         body = BODIES[wrong]
@@ -464,14 +473,14 @@
 
 
 class _Responder:
-    """Keeps the answer to a call."""
+    """Records the response to a call."""
 
     async def send_whole(self, status, headers, body):
         self.status, self.body = status, json.loads(body)
 
 
 class _Entry:
-    """An entry whose leader is a registry."""
+    """An entry process that calls a registry directly."""
 
     malformed = entry.Entry.malformed
 
@@ -487,8 +496,8 @@
         leave = messages.Leave(instance_id, born_ms)
         await self.world.registry.on_leave(None, leave)
 
-    def take(self, spelling, raw_id, ending, body):
-        """Take a call to the control address, and return its answer."""
+    def receive(self, spelling, raw_id, ending, body):
+        """Receive a call to the control address; return the response."""
         path = spelling.instances + raw_id + ending
         request = httpserver.Request(b'POST', path, [], body)
         responder = _Responder()
@@ -498,7 +507,7 @@
 
 
 class _Lines(logging.Handler):
-    """Keeps the messages of log lines."""
+    """Records the messages of log lines."""
 
     def __init__(self):
         super().__init__()
@@ -508,31 +517,31 @@
         self.lines.append(record.getMessage())
 
 
-@given('a runner that is held')
-def held_runner(context):
+@given('a registered runner')
+def registered_runner(context):
     world = context.world = lives_world.World()
     context.entry = _Entry(world)
     for spelling in SPELLINGS:
         good = _spell(spelling, GOOD)
-        reply = context.entry.take(spelling, b'a', spelling.heartbeat, good)
+        reply = context.entry.receive(spelling, b'a', spelling.heartbeat, good)
         assert reply.status == 200, reply.body
     context.before = world.machine.snapshot()
 
 
-@when('a {word} with {wrong} comes, in either spelling')
-def malformed_comes(context, word, wrong):
+@when('a {kind} with {wrong} is received, with either set of wire names')
+def receive_malformed(context, kind, wrong):
     handler = _Lines()
     logger = logging.getLogger('mountridge')
     level = logger.level
     logger.addHandler(handler)
     logger.setLevel(logging.INFO)
-    context.answers = []
-    good = GOOD if word == 'heartbeat' else {'born_ms': 995000}
+    context.responses = []
+    good = GOOD if kind == 'heartbeat' else {'born_ms': 995000}
     for spelling in SPELLINGS:
         raw_id, body = _malformed(spelling, wrong, good)
-        ending = getattr(spelling, word)
-        answer = context.entry.take(spelling, raw_id, ending, body)
-        context.answers.append(answer)
+        ending = getattr(spelling, kind)
+        response = context.entry.receive(spelling, raw_id, ending, body)
+        context.responses.append(response)
     logger.removeHandler(handler)
     logger.setLevel(level)
     context.lines = handler.lines
@@ -542,26 +551,26 @@
     'it is refused with code {code:d}, counted under {cause}, and logged once'
 )
 def check_refused(context, code, cause):
-    for answer in context.answers:
-        assert 400 <= answer.status < 500, answer.status
-        assert answer.body['error']['code'] == code, answer.body
-        assert len(json.dumps(answer.body)) < 400, answer.body
+    for response in context.responses:
+        assert 400 <= response.status < 500, response.status
+        assert response.body['error']['code'] == code, response.body
+        assert len(json.dumps(response.body)) < 400, response.body
     counts = context.entry.app.metrics.counts
     assert counts == {f'runner.malformed.{cause}': 2}, counts
     assert context.lines == 2 * ['runner word malformed'], context.lines
     assert context.world.machine.snapshot() == context.before
 
 
-@given('a registry whose deployment has the hall north and the service s')
-def named_registry(context):
+@given('a registry of a deployment with the hall north and the service s')
+def deployed_registry(context):
     world = context.world = lives_world.World()
     world.settings['halls'] = ['north']
     context.services = {'s'}
     world.registry.names_service = lambda name: name in context.services
 
 
-@when('a runner that is held at X is followed by one with {what} at X')
-def unnamed_comes(context, what):
+@when('a runner registered at X is followed by one with {what} at X')
+def register_unknown(context, what):
     context.world.heartbeat(_instance('a', 'X', 990), 1)
     other = _instance('b', 'X', 995)
     changed = {'another service': {'service': 't'}}
@@ -569,23 +578,25 @@
     context.problem = context.world.heartbeat(other._replace(**changed), 1)
 
 
-@then('the answer is {code:d}, and the runner at X stays')
+@then('the reply has code {code:d}, and the runner at X stays registered')
 def check_stays(context, code):
     assert context.problem.code == code, context.problem
-    assert _held(context.world) == 'a X 990 1', _held(context.world)
+    assert _registered(context.world) == 'a X 990 1', _registered(
+        context.world
+    )
 
 
-@when('a held runner drains after its service was taken out of the routes')
-def drains_unnamed(context):
+@when('a registered runner drains after the routes have lost its service')
+def drain_without_service(context):
     context.world.heartbeat(_instance('a', 'X', 990), 1)
     context.services.clear()
     draining = _instance('a', 'X', 990, instances.DRAINING)
     assert context.world.heartbeat(draining, 2) is None
 
 
-@then('the registry has it as draining')
+@then('it is registered as draining')
 def check_draining(context):
-    assert _held(context.world) == 'a X 990 1 draining'
+    assert _registered(context.world) == 'a X 990 1 draining'
 
 
 # Any bytes.
@@ -603,7 +614,7 @@
 
 
 def _mutated(good):
-    """Draw a body: a good one with values changed, or cut, or any bytes."""
+    """Draw a body: valid, with one field changed, truncated, or any bytes."""
     values = strategies.sampled_from(
         [0, 1, 5, -1, 2**53, '', 'ready', 'draining', '10.0.0.9:81']
     )
@@ -617,7 +628,7 @@
     return kept | bodies | cuts | strategies.binary(max_size=60)
 
 
-@when('1200 bodies are made of random bytes, values and mutations')
+@when('1200 bodies are drawn from random bytes, values and mutations')
 def draw_bodies(context):
     context.read, context.refused = 0, 0
     for spelling in SPELLINGS:
@@ -632,28 +643,28 @@
                 assert problem.cause != 'other', problem
                 context.refused += 1
                 return
-            _check_can_be_held(heartbeat)
+            _check_can_be_registered(heartbeat)
             context.read += 1
 
 
-def _check_can_be_held(heartbeat):
-    held = heartbeat.instance
+def _check_can_be_registered(heartbeat):
+    read = heartbeat.instance
     assert messages.decode(messages.encode(heartbeat)).message == heartbeat
-    assert views.unpack_instance(views.pack(held)) == held
-    host, _, port = held.address.rpartition(':')
-    assert host.count('.') == 3 and 0 < int(port) < 65536, held.address
-    assert held.state in (instances.READY, instances.DRAINING)
-    assert held.born_ms >= 0 and held.slots >= 0 and heartbeat.seq >= 0
-    assert held.instance_id.isascii() and held.instance_id.isprintable()
+    assert views.unpack_instance(views.pack(read)) == read
+    host, _, port = read.address.rpartition(':')
+    assert host.count('.') == 3 and 0 < int(port) < 65536, read.address
+    assert read.state in (instances.READY, instances.DRAINING)
+    assert read.born_ms >= 0 and read.slots >= 0 and heartbeat.seq >= 0
+    assert read.instance_id.isascii() and read.instance_id.isprintable()
 
 
-@then('each spelling reads a heartbeat that can be held, or refuses it')
+@then('each is a heartbeat that can be registered, or is refused')
 def check_drawn(context):
     assert context.read > 50 and context.refused > 400, context.read
 
 
 class _Calls(engines.EngineCalls):
-    """Calls that an engine answers with given bytes."""
+    """Calls to an engine that responds with given bytes."""
 
     def __init__(self, body):
         self.body = body
@@ -662,7 +673,7 @@
         return dialects.ReplyHead(200, None, False, 'i', None, None), self.body
 
 
-@when('an engine answers 300 bodies made of random values and mutations')
+@when('an engine responds with 300 bodies of random values and mutations')
 def draw_states(context):
     context.read, context.refused = 0, 0
     group = {'name': 'g', 'epoch': 1, 'rank': 0, 'state': 'open'}
@@ -696,7 +707,7 @@
 
 @when('routes that are nested 30000 deep are read in {form}')
 def read_nested(context, form):
-    decode = routes.decode if 'our own' in form else wire.DIALECT.decode_routes
+    decode = routes.decode if 'native' in form else wire.DIALECT.decode_routes
     body = b'{"x":%s%s}' % (b'[' * 30000, b']' * 30000)
     try:
         decode(body)
@@ -709,19 +720,22 @@
     assert context.problem.status == 400, context.problem
 
 
-# Groups, and a runner from its words to its requests.
+# Groups, and a runner from its heartbeats to its requests.
 
 
-@given('a sidecar whose engine has counted 5 and 7 choices')
+@given('a sidecar whose engine has counted 5 and 7 selections')
 def counting_sidecar(context):
     context.counted = []
 
     async def counts():
         return context.counted
 
-    told = {'sidecar': {'report_s': 0.2}, 'controllers': {'c': 'tcp://a:1'}}
+    sections = {
+        'sidecar': {'report_s': 0.2},
+        'controllers': {'c': 'tcp://a:1'},
+    }
     app = types.SimpleNamespace(
-        settings=told | {'entry': {'seeds': []}, 'bind': 'tcp://a:1'},
+        settings=sections | {'entry': {'seeds': []}, 'bind': 'tcp://a:1'},
         now_s=lambda: context.now_s,
     )
     engine = types.SimpleNamespace(counts=counts)
@@ -735,22 +749,22 @@
     context.now_s += 1
     context.counted = counted
     state = ranks.RankState('g', *numbers)
-    context.choices = trio.run(context.sidecar._fresh_counts, state)
+    context.selections = trio.run(context.sidecar._fresh_counts, state)
 
 
-@when('the engine counts anew, 1 and 9')
-def counts_anew(context):
+@when('the engine resets its counters and reports 1 and 9')
+def reset_counters(context):
     _count(context, [1, 9])
 
 
-@then('no choices are told, and none are made up')
-def check_no_choices(context):
-    assert context.choices == demand.NO_COUNTS, context.choices
+@then('no selections are reported, and later ones are counted from there')
+def check_no_selections(context):
+    assert context.selections == demand.NO_COUNTS, context.selections
     _count(context, [2, 11])
-    assert demand.unpack(context.choices)[1] == 2, context.choices
+    assert demand.unpack(context.selections)[1] == 2, context.selections
 
 
-@given('a leader that knows a rank by a start that is told')
+@given('a leader that knows the start time of a rank')
 def leader_of_rank(context):
     app = types.SimpleNamespace(
         now_s=lambda: 1.0, metrics=metrics.Metrics(None)
@@ -770,12 +784,12 @@
     return context.groups.on_report(peer, report)
 
 
-@when('a report of its former life comes late')
+@when('a report of its earlier incarnation arrives late')
 def late_report(context):
     context.reply = _report(context, 990000)
 
 
-@then('no load is passed on, and no order is given')
+@then('no load is forwarded, and no order is sent')
 def check_no_load(context):
     assert context.reply.order is None
     assert context.groups.take_loads() == []
@@ -783,38 +797,38 @@
     assert len(context.groups.take_loads()) == 1
 
 
-@given('an emulated runner, a registry and a gateway that follows it')
+@given('an emulated runner, a registry and a gateway that reads its view')
 def emulated_runner(context):
     context.world = lives_world.World()
     context.entry = _Entry(context.world)
     context.known = backends.Backends('g')
     context.plain = engineserver.Plain(0, 0.02, context.rng)
-    _beat(context)
+    _send_heartbeat(context)
 
 
-def _beat(context):
+def _send_heartbeat(context):
     spelling = entryapi.NATIVE
     body = context.plain.heartbeat(ADDRESSES['X'], 4)
-    reply = context.entry.take(spelling, b'p-0', spelling.heartbeat, body)
+    reply = context.entry.receive(spelling, b'p-0', spelling.heartbeat, body)
     assert reply.status == 200, reply.body
     view = context.world.machine.view
     packed = view.by_prefix(views.INSTANCE_PREFIX).values()
-    context.forgotten = context.known.follow(
+    context.to_close = context.known.follow(
         [views.unpack_instance(value) for value in packed]
     )
 
 
-@when('it fails there, starts again and says so')
-def fails_and_restarts(context):
-    _beat(context)
-    former = context.known.by_id['p-0']
-    former.failed(1.0)
-    former.failed(1.0)
-    former.replaced = True
-    _beat(context)
-    assert context.known.by_id['p-0'] is former
+@when('it fails at the gateway, restarts and sends a heartbeat')
+def fail_and_restart(context):
+    _send_heartbeat(context)
+    earlier = context.known.by_id['p-0']
+    earlier.failed(1.0)
+    earlier.failed(1.0)
+    earlier.replaced = True
+    _send_heartbeat(context)
+    assert context.known.by_id['p-0'] is earlier
     context.plain.restart(999.0)
-    _beat(context)
+    _send_heartbeat(context)
 
 
 @then('the gateway sends it requests at once')
@@ -822,5 +836,5 @@
     rng = random.Random(1)
     picked = context.known.pick('plain', 'north', set(), 1, rng, 1.0)
     assert picked.backend.instance.born_ms == 999000, picked
-    assert context.forgotten == [ADDRESSES['X']], context.forgotten
+    assert context.to_close == [ADDRESSES['X']], context.to_close
     assert context.world.counts['runner.lives'] == 2
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -902,7 +902,7 @@
         'lives: a leave made on nothing held ends a later start',
         'statemachine',
         'if proposed.born_ms and proposed.born_ms < known.born_ms:',
-        'if False:', 'lives', 'nothing was held',
+        'if False:', 'lives', 'before any registration',
     ),
     Mutant(
         'warmup: a part goes with a runner to another hall', 'warmup',
