--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -239,6 +239,7 @@
         known.report(messages.RunnerLoad('a', 0, 0, 900, 0, True), 1.0)
     if state == 'full':
         known.report(messages.RunnerLoad('a', 4, 9, 100, 0, True), 1.0)
+    context.state = state
 
 
 @when('the runner restarts under its id')
