--- a/features/lives.feature
+++ b/features/lives.feature
@@ -31,6 +31,7 @@
       | a start after the leave is registered           | a X 0 5, leave a, a X 1005 1        | a X 1005 2 |
       | a leave may arrive first                        | leave a, a X 990 1                  | nothing    |
       | a leave with a start may arrive first           | leave a 990, a X 990 1              | nothing    |
+      | a second leave with a later start is applied    | leave a 990, leave a 995, a X 995 1 | nothing    |
       | after an early leave a restart is registered    | leave a, a X 1005 1                 | a X 1005 1 |
       | a runner that timed out returns                 | a X 990 5, wait 16, a X 990 6       | a X 990 2  |
       | without starts a crashed runner returns         | a X 0 9, wait 16, a Y 0 1           | a Y 0 2    |
