--- a/bench/control.py
+++ b/bench/control.py
@@ -68,7 +68,9 @@
 # Commits.
 
 
-async def _commit(leader: members.Leader, number: int, took: list[float]):
+async def _commit(
+    leader: members.LeaderClient, number: int, took: list[float]
+):
     key = f't/s/{time.time():.0f}-{time.perf_counter_ns()}'
     claim = messages.Claim(key, 'd', 'r', f'a{number}', 'agent', 'i')
     begun_s = time.perf_counter()
@@ -77,7 +79,7 @@
 
 
 async def _flight(app, count: int) -> tuple[float, list[float]]:
-    leader = members.Leader(app)
+    leader = members.LeaderClient(app)
     took: list[float] = []
     await _commit(leader, 0, [])
     begun_s = time.perf_counter()
@@ -127,7 +129,7 @@
 
 
 async def _until_commit(app) -> float:
-    leader = members.Leader(app)
+    leader = members.LeaderClient(app)
     begun_s = time.perf_counter()
     while True:
         try:
@@ -184,10 +186,10 @@
                 self.received_bytes += len(messages.encode(grant))
             except errors.MountridgeError:
                 pass
-            # As `members.LeaseKeeper` does.
+            # As `members.LeaseRenewer` does.
             self.nudged = trio.Event()
-            await trio.sleep(members.HURRY_S)
-            with trio.move_on_after(0.75 - members.HURRY_S):
+            await trio.sleep(members.MIN_RENEWAL_S)
+            with trio.move_on_after(0.75 - members.MIN_RENEWAL_S):
                 await self.nudged.wait()
 
 
@@ -201,7 +203,7 @@
     listed = [Subscriber(app, n, address) for n in range(count)]
     for each in listed:
         app.start_task(each.run)
-    leader = members.Leader(app)
+    leader = members.LeaderClient(app)
     reply = await leader.call(messages.ReadTable(), 5)
     await trio.sleep(6)
     pid = made.processes['c1'].pid
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -41,7 +41,7 @@
                 self.reverted.append(key)
             self._seen[key] = held.view.index
             is_old = _version(held) != self.version
-            if self.in_force_s is not None and is_old and held.valid(now_s):
+            if self.in_force_s is not None and is_old and held.is_valid(now_s):
                 self.stale.append((name, now_s))
         if self.in_force_s is None and self._all_new(now_s):
             self.in_force_s = now_s
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -60,8 +60,8 @@
         self.app = app
         self.settings = app.settings['agent']
         self.held = leases.HeldLease()
-        self.leader = members.Leader(app, self._pushed)
-        self.keeper = members.LeaseKeeper(
+        self.leader = members.LeaderClient(app, self._pushed)
+        self.keeper = members.LeaseRenewer(
             app, self.leader, self.held, self.renewal
         )
         self.tickets = tickets.TicketLog(app.incarnation)
@@ -81,8 +81,8 @@
 
     def _pushed(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
-            if self.held.extend(message):
-                self.keeper.nudge()
+            if self.held.apply_changes(message):
+                self.keeper.wake()
                 self._follow_view()
 
     def on_watch_load(
@@ -110,7 +110,7 @@
     def _admit(self, ticket: messages.Ticket, now_s: float) -> None:
         if self.draining:
             raise errors.Draining()
-        if not self.held.valid(now_s):
+        if not self.held.is_valid(now_s):
             raise errors.NoLease()
         if not self.backoff_state.may_send(now_s):
             raise self._resting(now_s)
@@ -370,7 +370,7 @@
 
     def _takes_nothing(self) -> bool:
         now_s = self.app.now_s()
-        is_willing = self.held.valid(now_s) and self.backoff_state.may_send(
+        is_willing = self.held.is_valid(now_s) and self.backoff_state.may_send(
             now_s
         )
         return self.draining or not is_willing
@@ -391,7 +391,7 @@
 
     def _follow_view(self, *_: typing.Any, **__: typing.Any) -> None:
         """Stop what was for gateways that have restarted since."""
-        for value in self.held.view.under('member/').values():
+        for value in self.held.view.by_prefix('member/').values():
             member = views.unpack_member(value)
             if member.kind == 'gateway':
                 self.outbox.remove_earlier(member.name, member.incarnation)
--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -146,7 +146,7 @@
     """
 
     async def work(app: application.Application) -> list[dict]:
-        state = await members.Leader(app).call(
+        state = await members.LeaderClient(app).call(
             messages.ReadMembers(), clitools.CALL_TIMEOUT_S
         )
         found: list[dict] = []
--- a/mountridge/clitools.py
+++ b/mountridge/clitools.py
@@ -130,7 +130,7 @@
     """Return the reply of the leading controller, or exit with its error."""
 
     async def work(app: application.Application) -> typing.Any:
-        return await members.Leader(app).call(message, CALL_TIMEOUT_S)
+        return await members.LeaderClient(app).call(message, CALL_TIMEOUT_S)
 
     return run_as_operator(path, work)
 
--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -149,7 +149,7 @@
         self,
         app: application.Application,
         replica: replicas.Replica,
-        leader: members.Leader,
+        leader: members.LeaderClient,
     ):
         self.app = app
         self.replica = replica
@@ -165,7 +165,7 @@
 
     def _follow_leader(self, sender: typing.Any, address: str) -> None:
         """Let the calls of this process go to the leader at once."""
-        self.leader.follow(address)
+        self.leader.set_leader(address)
 
     async def on_join(self, peer, join: messages.Join) -> messages.Registered:
         """Let a controller take part, as a learner at first."""
@@ -211,7 +211,7 @@
             self.app.settings['hall'],
         )
         while True:
-            self.leader.learn(self.controllers())
+            self.leader.update_controllers(self.controllers())
             if node.role != consensus.LEADER:
                 try:
                     await self.leader.call(join, REJOIN_S)
@@ -222,7 +222,7 @@
 
     def controllers(self) -> dict[str, str]:
         """Return the controllers that this one knows, by name."""
-        return members.by_name(self.replica.node.config.addresses())
+        return members.addresses_by_name(self.replica.node.config.addresses())
 
     async def tell_seeds(self) -> None:
         """While leading, tell the seeds who the controllers are."""
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -99,7 +99,7 @@
         self.replica.check_leader()
         view = self.machine.view
         self.leases.renew(peer.route, renew, view.index, now_s)
-        snapshot, changes = view.since(renew.index)
+        snapshot, changes = view.changes_since(renew.index)
         shares = []
         if renew.kind == 'gateway':
             shares = self.apportioner.grant(
@@ -116,7 +116,7 @@
             snapshot,
             changes,
             shares,
-            members.by_name(self.replica.node.config.addresses()),
+            members.addresses_by_name(self.replica.node.config.addresses()),
         )
 
     def _check_name(self, peer, name: str) -> None:
@@ -163,9 +163,9 @@
     async def _lose_lapsed(self) -> None:
         """Note who holds no lease: lapsed, or never renewed here."""
         now_s = self.app.now_s()
-        for name in self.leases.lapsed(now_s):
+        for name in self.leases.remove_expired(now_s):
             rows = self.machine.rows_by_key
-            self.apportioner.forget(name, rows, now_s)
+            self.apportioner.remove_gateway(name, rows, now_s)
         if now_s < self.leases.quiet_until_s:
             return
         # At once: one by one, those of a whole hall would take a sync each.
@@ -200,7 +200,7 @@
         for name, holder in self.leases.holders.items():
             if holder.sent_index >= view.index:
                 continue
-            snapshot, changes = view.since(holder.sent_index)
+            snapshot, changes = view.changes_since(holder.sent_index)
             if snapshot:
                 continue
             pushed = messages.Changes(
@@ -210,7 +210,7 @@
                 changes,
             )
             if self.app.send(holder.route, pushed):
-                self.leases.sent(name, view.index)
+                self.leases.record_sent(name, view.index)
 
     async def tell_loads(self) -> None:
         """Tell gateways what sidecars have reported, while leading."""
@@ -237,13 +237,15 @@
         cut off none does. Of these those that are no controllers, in turn,
         so that the loss of the one that gives it costs no election.
         """
-        controllers = members.by_name(self.replica.node.config.addresses())
+        controllers = members.addresses_by_name(
+            self.replica.node.config.addresses()
+        )
         now_s = self.app.now_s()
         late_s = LATE_RENEWALS * self.app.settings['lease']['renew_s']
         ranked: dict[tuple[bool, bool], list[str]] = {}
         for name, holder in sorted(self.leases.holders.items()):
             if holder.renew.kind == 'gateway' and not holder.renew.leaving:
-                is_late = not self.leases.heard_of_late(name, late_s, now_s)
+                is_late = not self.leases.renewed_recently(name, late_s, now_s)
                 rank = (is_late, name in controllers)
                 ranked.setdefault(rank, []).append(name)
         if not ranked:
--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -36,7 +36,7 @@
         self,
         app: application.Application,
         lease: leases.HeldLease,
-        leader: members.Leader,
+        leader: members.LeaderClient,
         log: decisions.DecisionLog,
     ):
         self.app = app
--- a/mountridge/dispatch/filters.py
+++ b/mountridge/dispatch/filters.py
@@ -44,7 +44,7 @@
             return
         self._revision = view.revision
         self._rows = {}
-        for packed in view.under('row/').values():
+        for packed in view.by_prefix('row/').values():
             row = views.unpack_row(packed)
             team = self._rows.setdefault(row.team, {})
             team.setdefault(row.service, []).append(row)
@@ -78,7 +78,7 @@
     lease: leases.HeldLease, exchange: exchanges.Exchange, now_s: float
 ) -> None:
     """Refuse requests without a valid lease: the table may be outdated."""
-    if not lease.valid(now_s):
+    if not lease.is_valid(now_s):
         raise errors.NoLease(retry_after_s=1.0)
 
 
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -60,8 +60,8 @@
         self._connect = connect
         self.settings = app.settings['entry']
         self.held = leases.HeldLease()
-        self.leader = members.Leader(app, self._pushed)
-        self.keeper = members.LeaseKeeper(
+        self.leader = members.LeaderClient(app, self._pushed)
+        self.keeper = members.LeaseRenewer(
             app, self.leader, self.held, self._renewal
         )
         bounds = app.settings['bounds']
@@ -128,8 +128,8 @@
 
     def _pushed(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
-            if self.held.extend(message):
-                self.keeper.nudge()
+            if self.held.apply_changes(message):
+                self.keeper.wake()
                 self.follow_view()
         elif isinstance(message, messages.Loads):
             now_s = self.app.now_s()
@@ -164,7 +164,7 @@
         self._follow_halls()
         self._follow_quarantine()
         self._follow_routes()
-        packed = view.under(views.INSTANCE_PREFIX)
+        packed = view.by_prefix(views.INSTANCE_PREFIX)
         registered = [views.unpack_instance(v) for v in packed.values()]
         gateways = self._all_gateways()
         self.backends.update_gateways(
@@ -196,7 +196,7 @@
         )
 
     def _follow_halls(self) -> None:
-        packed = self.held.view.under(views.HALL_PREFIX)
+        packed = self.held.view.by_prefix(views.HALL_PREFIX)
         listed = [views.unpack_hall(value) for value in packed.values()]
         out = {state.name: state for state in listed if state.is_out}
         if not self.backends.update_halls(set(out), self.app.now_s()):
@@ -212,8 +212,8 @@
         )
 
     def _follow_quarantine(self) -> None:
-        packed = self.held.view.under(views.QUARANTINE_PREFIX).values()
-        listed = [views.unpack_held(value) for value in packed]
+        packed = self.held.view.by_prefix(views.QUARANTINE_PREFIX).values()
+        listed = [views.unpack_quarantined(value) for value in packed]
         self.crash_reporter.update(listed)
 
     def _follow_routes(self) -> None:
@@ -240,7 +240,7 @@
         )
 
     def _all_gateways(self) -> list[views.Member]:
-        packed = self.held.view.under('member/')
+        packed = self.held.view.by_prefix('member/')
         listed = [views.unpack_member(value) for value in packed.values()]
         return [member for member in listed if member.kind == 'gateway']
 
@@ -349,7 +349,7 @@
 
     def follow_settings(self, settings: dict) -> None:
         """Take what newer settings may change in a running process."""
-        self.leader.follow_seeds(settings)
+        self.leader.update_seeds(settings)
         self.hall_orders.update_settings(settings)
 
     # Life.
@@ -414,12 +414,12 @@
 
     def learn(self, peer, message: messages.Controllers) -> None:
         """Take from the leader who the controllers are."""
-        self.leader.learn(message.addresses)
+        self.leader.update_controllers(message.addresses)
 
     def refer(self, peer, message: typing.Any) -> typing.NoReturn:
         """Answer what is for a controller: this is none, ask that one."""
         problem = errors.NotLeader()
-        if self.held.valid(self.app.now_s()):
+        if self.held.is_valid(self.app.now_s()):
             name, address = self.leader.current
             problem.leader, problem.leader_address = name, address
         raise problem
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -33,8 +33,8 @@
         self.app = app
         self.settings = app.settings['gateway']
         self.held = leases.HeldLease()
-        self.leader = members.Leader(app, self._pushed)
-        self.keeper = members.LeaseKeeper(
+        self.leader = members.LeaderClient(app, self._pushed)
+        self.keeper = members.LeaseRenewer(
             app, self.leader, self.held, self.renewal
         )
         self.limiter = limits.Limiter()
@@ -52,8 +52,8 @@
 
     def _pushed(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
-            if self.held.extend(message):
-                self.keeper.nudge()
+            if self.held.apply_changes(message):
+                self.keeper.wake()
                 self.follow_view()
 
     def follow_view(self, *_: typing.Any, **__: typing.Any) -> None:
@@ -64,7 +64,7 @@
 
     def members(self) -> list[views.Member]:
         """Return the members that the view names."""
-        packed = self.held.view.under('member/')
+        packed = self.held.view.by_prefix('member/')
         return [views.unpack_member(value) for value in packed.values()]
 
     def renewal(self) -> messages.Renew:
@@ -125,8 +125,8 @@
         )
         with trio.move_on_after(patience_s):
             while not self.limiter.has_share(key, self.held.shares):
-                self.limiter.want(key, self.app.now_s())
-                await self.keeper.hurry()
+                self.limiter.record_waiting(key, self.app.now_s())
+                await self.keeper.renew_now()
         self.limiter.admit(key, self.held.shares.get(key), self.app.now_s())
         exchange.cleanups.append(lambda: self.limiter.release(key))
 
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -284,11 +284,11 @@
     ),
     Mutant(
         'gateways with no lease', 'filters',
-        'if not lease.valid(now_s):', 'if False:', 'configuration',
+        'if not lease.is_valid(now_s):', 'if False:', 'configuration',
     ),
     Mutant(
         'agents with no lease', 'agent',
-        'if not self.held.valid(now_s):', 'if False:', 'operations',
+        'if not self.held.is_valid(now_s):', 'if False:', 'operations',
         'receives nothing from controllers',
     ),
     Mutant(
@@ -406,12 +406,13 @@
     ),
     Mutant(
         'entry: late heartbeats count', 'lives',
-        'if given.seq < known.seq:', 'if False:',
+        'if received.seq < known.seq:', 'if False:',
         'entry', 'heartbeat that comes late',
     ),
     Mutant(
         'entry: left runners come back', 'lives',
-        'if is_over(known) and not known.may_return:\n        return Refusal',
+        'if has_ended(known) and not known.may_return:\n'
+        '        return Refusal',
         'if False:\n        return Refusal', 'entry', 'runner that left',
     ),
     Mutant(
@@ -426,7 +427,7 @@
     ),
     Mutant(
         'entry: silence lasts though one is heard', 'members',
-        '                self._silent_until_s.pop(address, None)',
+        '                self._unresponsive_until_s.pop(address, None)',
         '                pass', 'entry',
         'heard of again',
     ),
@@ -797,17 +798,17 @@
     ),
     Mutant(
         'lives: an older start is a new life', 'lives',
-        'is_newer = given.born_ms > known.born_ms',
+        'is_newer = received.born_ms > known.born_ms',
         'is_newer = True', 'lives',
     ),
     Mutant(
         'lives: a newer start is an old life', 'lives',
-        'is_newer = given.born_ms > known.born_ms',
+        'is_newer = received.born_ms > known.born_ms',
         'is_newer = False', 'lives',
     ),
     Mutant(
         'lives: late counts count', 'lives',
-        'if given.seq < known.seq:',
+        'if received.seq < known.seq:',
         'if False:', 'lives',
     ),
     Mutant(
@@ -827,18 +828,19 @@
     ),
     Mutant(
         'lives: a start from before the leave', 'lives',
-        'if not is_over(known) or given.born_ms > known.since_ms:',
+        'if not has_ended(known) or received.born_ms > known.since_ms:',
         'if True:', 'lives',
     ),
     Mutant(
         'lives: an earlier start takes an address', 'lives',
-        'return other.born_ms < given.born_ms',
+        'return other.born_ms < received.born_ms',
         'return True', 'lives',
     ),
     Mutant(
         'lives: a later runner that left is forgotten', 'lives',
-        'if other.born_ms and given.born_ms:',
-        'if other.born_ms and given.born_ms and not is_over(other):', 'lives',
+        'if other.born_ms and received.born_ms:',
+        'if other.born_ms and received.born_ms and not has_ended(other):',
+        'lives',
     ),
     Mutant(
         'lives: who is back takes its address', 'lives',
@@ -892,7 +894,7 @@
     ),
     Mutant(
         'lives: a second leave is lost', 'statemachine',
-        'if is_final and given.born_ms <= known.born_ms:',
+        'if is_final and proposed.born_ms <= known.born_ms:',
         'if is_final:', 'lives',
     ),
     Mutant(
@@ -902,14 +904,14 @@
     ),
     Mutant(
         'lives: the log takes old leaves', 'statemachine',
-        'if given.lives not in (0, known.lives):',
+        'if proposed.lives not in (0, known.lives):',
         'if False:', 'lives',
     ),
     Mutant(
         'lives: a leave made on nothing held ends a later start',
         'statemachine',
-        'if given.born_ms and given.born_ms < known.born_ms:', 'if False:',
-        'lives', 'nothing was held',
+        'if proposed.born_ms and proposed.born_ms < known.born_ms:',
+        'if False:', 'lives', 'before any registration',
     ),
     Mutant(
         'warmup: a part goes with a runner to another hall', 'warmup',
@@ -1003,22 +1005,22 @@
     ),
     Mutant(
         'losses: a late call looks for nobody', 'members',
-        'self._app.start_task(self._search, asked)', 'pass', 'losses',
+        'self._app.start_task(self._search, called)', 'pass', 'losses',
         'asked at once',
     ),
     Mutant(
         'losses: calls wait on at a lost leader', 'members',
-        '            if asked != address:\n', '            if False:\n',
+        '            if called != address:\n', '            if False:\n',
         'losses', 'Calls that wait',
     ),
     Mutant(
         'losses: a search leaves its connections open', 'members',
-        'used = {self._current, *self._asking.values()}',
+        'used = {self._current, *self._pending.values()}',
         'used = set(self._callers)', 'losses', 'opened is closed',
     ),
     Mutant(
         'losses: names are followed again and again', 'members',
-        'if named and named not in tried and', 'if named and', 'losses',
+        '            and named not in attempted\n', '', 'losses',
         'out of date',
     ),
     Mutant(
@@ -1033,7 +1035,8 @@
     ),
     Mutant(
         'losses: a box does not follow its own replica', 'formation',
-        'self.leader.follow(address)', 'pass', 'losses', 'its replica follows',
+        'self.leader.set_leader(address)', 'pass', 'losses',
+        'its replica follows',
     ),
     Mutant(
         'losses: voters stand at random times', 'replication',
@@ -1117,7 +1120,7 @@
     ),
     Mutant(
         'losses: orders go to boxes of a hall that is cut off', 'controller',
-        'is_late = not self.leases.heard_of_late(name, late_s, now_s)',
+        'is_late = not self.leases.renewed_recently(name, late_s, now_s)',
         'is_late = False', 'losses', 'Orders to ranks',
     ),
     Mutant(
@@ -1140,7 +1143,7 @@
     ),
     Mutant(
         'halls: a snapshot loses them', 'statemachine',
-        'self.view.under(views.HALL_PREFIX)', "self.view.under('-')",
+        'self.view.by_prefix(views.HALL_PREFIX)', "self.view.by_prefix('-')",
         'halls', 'state of halls',
     ),
     Mutant(
