--- a/features/steps/consensus_steps.py
+++ b/features/steps/consensus_steps.py
@@ -225,7 +225,7 @@
 
 def _ask(world, follower, term, index, last_term):
     """Return the vote that a follower gives to such a candidate."""
-    message = consensus.AskVote(term, False, index, last_term, False)
+    message = consensus.RequestVote(term, False, index, last_term, False)
     effects = consensus.step(
         world.nodes[follower],
         consensus.Received('cx', message),
@@ -713,7 +713,7 @@
 @then('the leader does not answer one that has just started')
 def leader_is_silent(context):
     world = context.world
-    event = consensus.Received('c9', consensus.Started(7))
+    event = consensus.Received('c9', consensus.LeaderQuery(7))
     leader = world.wait_leader()
     assert not consensus.step(world.nodes[leader], event, world.now_s)
     follower = next(n for n in world.nodes if n != leader)
@@ -756,7 +756,7 @@
 
 @when('one that has started anew asks "{asked}" at its address')
 def ask_former(context, asked):
-    body = replicas.pack_message(consensus.Started(7))
+    body = replicas.pack_message(consensus.LeaderQuery(7))
     message = messages.Raft('c3.x', asked, body, 'tcp://10.0.0.3:1')
     peer = types.SimpleNamespace(name='')
     context.replica.on_raft(peer, message)
--- a/mountridge/consensus/consensus.py
+++ b/mountridge/consensus/consensus.py
@@ -14,22 +14,23 @@
 import typing
 
 from mountridge.consensus.consensustypes import (
-    Apply, AskVote, Append, Appended, Campaign, CANDIDATE, ChangeConfig,
-    Compact, Effect, FOLLOWER, HandOver, Install, Installed, LEADER,
-    Message, Node, NotLeading, Peer, PRE_CANDIDATE, Propose, Read, ReadReady,
-    Received, Role, SaveEntries, SaveSnapshot, SaveVote, Send, Snapshot,
-    Started, Synced, Tick, Timing, Vote,
+    AppendEntries, AppendEntriesReply, Apply, CANDIDATE, ChangeConfig, Compact,
+    Effect, FOLLOWER, HandOver, InstallSnapshot, InstallSnapshotReply, LEADER,
+    LeaderQuery, Message, Node, NotLeading, Peer, PRE_CANDIDATE, Propose, Read,
+    ReadReady, Received, RequestVote, Role, SaveEntries, SaveSnapshot,
+    SaveVote, Send, Snapshot, Synced, Tick, TimeoutNow, Timing, VoteReply,
 )  # fmt: skip
 from mountridge.consensus import elections, entries, replication
 from mountridge import errors
 
 __all__ = [
-    'Apply', 'AskVote', 'Append', 'Appended', 'Campaign', 'CANDIDATE',
-    'ChangeConfig', 'Compact', 'Effect', 'FOLLOWER', 'HandOver', 'Install',
-    'Installed', 'LEADER', 'Message', 'Node', 'NotLeading', 'Peer',
-    'PRE_CANDIDATE', 'Propose', 'Read', 'ReadReady', 'Received', 'Role',
-    'SaveEntries', 'SaveSnapshot', 'SaveVote', 'Send', 'Snapshot', 'Started',
-    'Synced', 'Tick', 'Timing', 'Vote', 'make_node', 'step',
+    'AppendEntries', 'AppendEntriesReply', 'Apply', 'CANDIDATE',
+    'ChangeConfig', 'Compact', 'Effect', 'FOLLOWER', 'HandOver',
+    'InstallSnapshot', 'InstallSnapshotReply', 'LEADER', 'LeaderQuery',
+    'make_node', 'Message', 'Node', 'NotLeading', 'Peer', 'PRE_CANDIDATE',
+    'Propose', 'Read', 'ReadReady', 'Received', 'RequestVote', 'Role',
+    'SaveEntries', 'SaveSnapshot', 'SaveVote', 'Send', 'Snapshot', 'step',
+    'Synced', 'Tick', 'TimeoutNow', 'Timing', 'VoteReply',
 ]  # fmt: skip
 
 
@@ -134,15 +135,15 @@
 
 
 _MESSAGES: dict[type, typing.Callable] = {
-    AskVote: elections.on_ask_vote,
-    Vote: elections.on_vote,
-    Campaign: elections.on_campaign,
-    Started: elections.on_started,
+    RequestVote: elections.on_request_vote,
+    VoteReply: elections.on_vote_reply,
+    TimeoutNow: elections.on_timeout_now,
+    LeaderQuery: elections.on_leader_query,
     NotLeading: elections.on_not_leading,
-    Append: replication.on_append,
-    Appended: replication.on_appended,
-    Install: replication.on_install,
-    Installed: replication.on_installed,
+    AppendEntries: replication.on_append_entries,
+    AppendEntriesReply: replication.on_append_entries_reply,
+    InstallSnapshot: replication.on_install_snapshot,
+    InstallSnapshotReply: replication.on_install_snapshot_reply,
 }
 
 _EVENTS: dict[type, typing.Callable] = {
--- a/mountridge/consensus/consensustypes.py
+++ b/mountridge/consensus/consensustypes.py
@@ -32,7 +32,7 @@
 # Messages between controllers.
 
 
-class AskVote(typing.NamedTuple):
+class RequestVote(typing.NamedTuple):
     """Candidate to voters; ``pre`` asks only whether it could win."""
 
     term: int
@@ -42,15 +42,15 @@
     handed: bool  # the leader itself asked for this election
 
 
-class Vote(typing.NamedTuple):
-    """Answer to `AskVote`."""
+class VoteReply(typing.NamedTuple):
+    """Answer to `RequestVote`."""
 
     term: int
     pre: bool
     granted: bool
 
 
-class Append(typing.NamedTuple):
+class AppendEntries(typing.NamedTuple):
     """Leader to followers: entries past ``prev_index``, or a heartbeat."""
 
     term: int
@@ -61,8 +61,8 @@
     sent_s: float  # the leader's clock, echoed by the answer
 
 
-class Appended(typing.NamedTuple):
-    """Answer to `Append`; ``match`` is a hint where not ``ok``."""
+class AppendEntriesReply(typing.NamedTuple):
+    """Answer to `AppendEntries`; ``match`` is a hint where not ``ok``."""
 
     term: int
     ok: bool
@@ -70,7 +70,7 @@
     sent_s: float
 
 
-class Install(typing.NamedTuple):
+class InstallSnapshot(typing.NamedTuple):
     """Leader to a follower far behind: one part of a snapshot."""
 
     term: int
@@ -83,8 +83,8 @@
     sent_s: float
 
 
-class Installed(typing.NamedTuple):
-    """Answer to `Install`: the offset reached, ``done`` when whole."""
+class InstallSnapshotReply(typing.NamedTuple):
+    """Answer to `InstallSnapshot`: the offset reached, ``done`` when whole."""
 
     term: int
     index: int
@@ -93,33 +93,33 @@
     sent_s: float
 
 
-class Campaign(typing.NamedTuple):
+class TimeoutNow(typing.NamedTuple):
     """Leader to a voter: stand for election now."""
 
     term: int
 
 
-class Started(typing.NamedTuple):
+class LeaderQuery(typing.NamedTuple):
     """A controller that has just started asks another whether it leads."""
 
     start_id: int  # of this start; an answer to an earlier one is void
 
 
 class NotLeading(typing.NamedTuple):
-    """Answer to `Started`, which a leader never gives."""
+    """Answer to `LeaderQuery`, which a leader never gives."""
 
     start_id: int
 
 
 Message = (
-    AskVote
-    | Vote
-    | Append
-    | Appended
-    | Install
-    | Installed
-    | Campaign
-    | Started
+    RequestVote
+    | VoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshot
+    | InstallSnapshotReply
+    | TimeoutNow
+    | LeaderQuery
     | NotLeading
 )
 
--- a/mountridge/consensus/elections.py
+++ b/mountridge/consensus/elections.py
@@ -25,14 +25,15 @@
 """
 
 from mountridge.consensus.consensustypes import (
-    AskVote, CANDIDATE, Campaign, Effect, FOLLOWER, Node, PRE_CANDIDATE,
-    LEADER, NotLeading, SaveVote, Send, STAGGER_S, Started, Vote,
+    CANDIDATE, Effect, FOLLOWER, LEADER, LeaderQuery, Node, NotLeading,
+    PRE_CANDIDATE, RequestVote, SaveVote, Send, STAGGER_S, TimeoutNow,
+    VoteReply,
 )  # fmt: skip
 from mountridge.consensus import entries, replication
 
 __all__ = [
-    'ask_who_leads', 'begin_anew', 'begin_pre_vote', 'on_ask_vote',
-    'on_campaign', 'on_not_leading', 'on_started', 'on_vote',
+    'ask_who_leads', 'begin_anew', 'begin_pre_vote', 'on_leader_query',
+    'on_not_leading', 'on_request_vote', 'on_timeout_now', 'on_vote_reply',
     'restart_timer',
 ]  # fmt: skip
 
@@ -94,12 +95,12 @@
     if now_s < node.ask_at_s:
         return []
     node.ask_at_s = now_s + node.timing.heartbeat_s
-    started = Started(node.start_id)
+    started = LeaderQuery(node.start_id)
     return [Send(voter, started) for voter in sorted(node.may_lead)]
 
 
-def on_started(
-    node: Node, sender: str, message: Started, now_s: float
+def on_leader_query(
+    node: Node, sender: str, message: LeaderQuery, now_s: float
 ) -> list[Effect]:
     """Tell one that has just started that this controller does not lead."""
     if node.role == LEADER:
@@ -107,7 +108,7 @@
     effects: list[Effect] = [Send(sender, NotLeading(message.start_id))]
     if _heard_nobody(node) and sender in node.may_lead:
         # It was not there yet when it was asked.
-        effects.append(Send(sender, Started(node.start_id)))
+        effects.append(Send(sender, LeaderQuery(node.start_id)))
     return effects
 
 
@@ -128,7 +129,7 @@
 
 
 def _ask(node: Node, term: int, pre: bool, handed: bool) -> list[Effect]:
-    message = AskVote(
+    message = RequestVote(
         term, pre, node.log.last_index, node.log.last_term, handed
     )
     return [Send(voter, message) for voter in _others(node)]
@@ -168,8 +169,8 @@
     return effects + _ask(node, node.term, False, handed)
 
 
-def on_campaign(
-    node: Node, sender: str, message: Campaign, now_s: float
+def on_timeout_now(
+    node: Node, sender: str, message: TimeoutNow, now_s: float
 ) -> list[Effect]:
     """Stand for election, since the leader hands over."""
     if message.term != node.term or node.role != FOLLOWER:
@@ -179,13 +180,13 @@
     return _begin_election(node, True, now_s)
 
 
-def _is_up_to_date(node: Node, message: AskVote) -> bool:
+def _is_up_to_date(node: Node, message: RequestVote) -> bool:
     theirs = (message.last_term, message.last_index)
     return theirs >= (node.log.last_term, node.log.last_index)
 
 
 def _goes_first(
-    node: Node, sender: str, message: AskVote, now_s: float
+    node: Node, sender: str, message: RequestVote, now_s: float
 ) -> bool:
     """Return whether this voter asks for pre-votes too, and goes first.
 
@@ -207,8 +208,8 @@
     node.election_at_s = max(node.election_at_s, now_s + YIELD_S)
 
 
-def on_ask_vote(
-    node: Node, sender: str, message: AskVote, now_s: float
+def on_request_vote(
+    node: Node, sender: str, message: RequestVote, now_s: float
 ) -> list[Effect]:
     """Give or refuse a vote.
 
@@ -222,7 +223,7 @@
         granted = granted and not _goes_first(node, sender, message, now_s)
         if granted:
             _stand_back(node, now_s)
-        return [Send(sender, Vote(message.term, True, granted))]
+        return [Send(sender, VoteReply(message.term, True, granted))]
     effects: list[Effect] = []
     if message.term > node.term:
         effects += replication.adopt_term(node, message.term, now_s)
@@ -235,11 +236,11 @@
         node.voted_for = sender
         restart_timer(node, now_s)
         effects.append(SaveVote(node.term, sender))
-    return effects + [Send(sender, Vote(node.term, False, granted))]
+    return effects + [Send(sender, VoteReply(node.term, False, granted))]
 
 
-def on_vote(
-    node: Node, sender: str, message: Vote, now_s: float
+def on_vote_reply(
+    node: Node, sender: str, message: VoteReply, now_s: float
 ) -> list[Effect]:
     """Count a vote."""
     if not message.pre and message.term > node.term:
--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -22,14 +22,14 @@
 KEEP_ENTRIES = 1000
 
 _KINDS: tuple[type, ...] = (
-    consensus.AskVote,
-    consensus.Vote,
-    consensus.Append,
-    consensus.Appended,
-    consensus.Install,
-    consensus.Installed,
-    consensus.Campaign,
-    consensus.Started,
+    consensus.RequestVote,
+    consensus.VoteReply,
+    consensus.AppendEntries,
+    consensus.AppendEntriesReply,
+    consensus.InstallSnapshot,
+    consensus.InstallSnapshotReply,
+    consensus.TimeoutNow,
+    consensus.LeaderQuery,
     consensus.NotLeading,
 )
 _NUMBER = {kind: number for number, kind in enumerate(_KINDS)}
@@ -203,7 +203,7 @@
         would wait for 0.5 to 1.0 s where the leader's disk is lost.
         """
         is_own = message.to.partition('.')[0] == self.app.name
-        if is_own and isinstance(inner, consensus.Started):
+        if is_own and isinstance(inner, consensus.LeaderQuery):
             answer = consensus.NotLeading(inner.start_id)
             self._send(consensus.Send(message.sender, answer), message.to)
 
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -3,9 +3,10 @@
 """Replication of the consensus core: leading, following, catching up."""
 
 from mountridge.consensus.consensustypes import (
-    Append, Appended, Apply, Campaign, Effect, FOLLOWER, Install,
-    Installed, LEADER, Node, Peer, ReadReady, Role, SaveEntries,
-    SaveSnapshot, SaveVote, Send, Snapshot, STAGGER_S, Synced,
+    AppendEntries, AppendEntriesReply, Apply, Effect, FOLLOWER,
+    InstallSnapshot, InstallSnapshotReply, LEADER, Node, Peer, ReadReady, Role,
+    SaveEntries, SaveSnapshot, SaveVote, Send, Snapshot, STAGGER_S, Synced,
+    TimeoutNow,
 )  # fmt: skip
 from mountridge.consensus import entries
 from mountridge import errors
@@ -13,8 +14,9 @@
 __all__ = [
     'adopt_term', 'answer_reads', 'append_own', 'beat', 'begin_to_lead',
     'best_voter', 'check_caught_up', 'continue_hand_over', 'lead',
-    'lease_valid', 'on_append', 'on_appended', 'on_install',
-    'on_installed', 'on_synced', 'quorum_time',
+    'lease_valid', 'on_append_entries', 'on_append_entries_reply',
+    'on_install_snapshot', 'on_install_snapshot_reply', 'on_synced',
+    'quorum_time',
 ]  # fmt: skip
 
 #: Bytes of entries in one message, and messages on their way to one peer.
@@ -136,7 +138,7 @@
     node: Node, peer_id: str, part: list[entries.Entry], now_s: float
 ) -> Send:
     prev = node.peers[peer_id].next - 1
-    message = Append(
+    message = AppendEntries(
         node.term,
         prev,
         node.log.term_at(prev),
@@ -159,7 +161,7 @@
         return []
     offset = max(0, peer.install_offset)
     peer.install_offset = offset
-    message = Install(
+    message = InstallSnapshot(
         node.term,
         snapshot.index,
         snapshot.term,
@@ -265,7 +267,7 @@
     if peer is None:
         return []
     if peer.match == node.log.last_index:
-        return [Send(node.handing_to, Campaign(node.term))]
+        return [Send(node.handing_to, TimeoutNow(node.term))]
     return _feed(node, node.handing_to, now_s, beat=True)
 
 
@@ -306,7 +308,10 @@
 
 
 def _heard_from(
-    node: Node, sender: str, message: Appended | Installed, now_s: float
+    node: Node,
+    sender: str,
+    message: AppendEntriesReply | InstallSnapshotReply,
+    now_s: float,
 ) -> Peer | None:
     """Return the peer that answers its leader, None for any other."""
     peer = node.peers.get(sender)
@@ -317,8 +322,8 @@
     return peer
 
 
-def on_appended(
-    node: Node, sender: str, message: Appended, now_s: float
+def on_append_entries_reply(
+    node: Node, sender: str, message: AppendEntriesReply, now_s: float
 ) -> list[Effect]:
     """Take a follower's answer."""
     if message.term > node.term:
@@ -377,12 +382,12 @@
     node.election_at_s = now_s + node.timing.election_s + wait_s
 
 
-def on_append(
-    node: Node, sender: str, message: Append, now_s: float
+def on_append_entries(
+    node: Node, sender: str, message: AppendEntries, now_s: float
 ) -> list[Effect]:
     """Take a leader's entries where they fit on."""
     if message.term < node.term:
-        answer = Appended(node.term, False, 0, message.sent_s)
+        answer = AppendEntriesReply(node.term, False, 0, message.sent_s)
         return [Send(sender, answer)]
     effects = _follow(node, sender, message.term, now_s)
     ok, match = _fits(node, message)
@@ -390,11 +395,11 @@
         effects += _take(node, message.entries)
         match = message.prev_index + len(message.entries)
         effects += _commit_up_to(node, min(message.commit, match))
-    answer = Appended(node.term, ok, match, message.sent_s)
+    answer = AppendEntriesReply(node.term, ok, match, message.sent_s)
     return effects + [Send(sender, answer)]
 
 
-def _fits(node: Node, message: Append) -> tuple[bool, int]:
+def _fits(node: Node, message: AppendEntries) -> tuple[bool, int]:
     """Return whether entries follow on, else where they might."""
     log = node.log
     prev = message.prev_index
@@ -428,22 +433,24 @@
     return _advance(node, index) if index > node.commit else []
 
 
-def on_install(
-    node: Node, sender: str, message: Install, now_s: float
+def on_install_snapshot(
+    node: Node, sender: str, message: InstallSnapshot, now_s: float
 ) -> list[Effect]:
     """Gather the parts of a snapshot and put it in place when whole."""
     if message.term < node.term:
-        answer = Installed(node.term, 0, 0, False, message.sent_s)
+        answer = InstallSnapshotReply(node.term, 0, 0, False, message.sent_s)
         return [Send(sender, answer)]
     effects = _follow(node, sender, message.term, now_s)
     offset, done = _gather(node, message)
     if done and message.index > node.commit:
         effects += _replace_log(node, message)
-    answer = Installed(node.term, message.index, offset, done, message.sent_s)
+    answer = InstallSnapshotReply(
+        node.term, message.index, offset, done, message.sent_s
+    )
     return effects + [Send(sender, answer)]
 
 
-def _gather(node: Node, message: Install) -> tuple[int, bool]:
+def _gather(node: Node, message: InstallSnapshot) -> tuple[int, bool]:
     if message.index <= node.commit:
         return message.size, True
     key = (message.index, message.index_term)
@@ -455,7 +462,7 @@
     return len(data), len(data) == message.size
 
 
-def _replace_log(node: Node, message: Install) -> list[Effect]:
+def _replace_log(node: Node, message: InstallSnapshot) -> list[Effect]:
     snapshot = Snapshot(
         message.index,
         message.index_term,
@@ -474,8 +481,8 @@
     return [SaveSnapshot(snapshot, installed=True)]
 
 
-def on_installed(
-    node: Node, sender: str, message: Installed, now_s: float
+def on_install_snapshot_reply(
+    node: Node, sender: str, message: InstallSnapshotReply, now_s: float
 ) -> list[Effect]:
     """Take the answer to a part of a snapshot and send the next one."""
     if message.term > node.term:
