--- a/features/steps/consensus_steps.py
+++ b/features/steps/consensus_steps.py
@@ -288,7 +288,7 @@
     leader = world.wait_leader()
     world.run(0.2)
     node = world.nodes[leader]
-    commit = node.commit
+    commit = node.commit_index
     old = entries.Entry(
         node.term, node.log.last_index + 1, entries.COMMAND, b'old'
     )
@@ -301,7 +301,7 @@
     effects = consensus.step(
         node, consensus.Synced(old.index, old.term), world.now_s
     )
-    assert node.commit == commit and not effects, effects
+    assert node.commit_index == commit and not effects, effects
 
 
 @when('all disks become slow and a command is offered')
@@ -329,7 +329,7 @@
         early = {
             name
             for name, node in world.nodes.items()
-            if node.commit >= node.log.last_index
+            if node.commit_index >= node.log.last_index
             and node.log.entries[-1].payload == payload
         }
         assert not early or synced() >= 2, (early, synced())
@@ -353,10 +353,10 @@
     begun_s = world.now_s
     node = world.nodes[context.victim]
     world.run(0.25)
-    assert node.commit < node.log.last_index, 'committed before its sync'
+    assert node.commit_index < node.log.last_index, 'committed before its sync'
     assert world.run_until(lambda: payload in world.acked)
     assert world.now_s - begun_s >= 0.3, world.now_s - begun_s
-    assert node.commit == node.log.last_index
+    assert node.commit_index == node.log.last_index
 
 
 @when('a follower is down for {count:d} changes and snapshots')
--- a/features/worlds/consensus.py
+++ b/features/worlds/consensus.py
@@ -257,7 +257,7 @@
     def wait_leader(self, limit_s=10.0):
         ready = lambda: (  # noqa: E731
             self.leader()
-            and self.nodes[self.leader()].commit
+            and self.nodes[self.leader()].commit_index
             >= self.nodes[self.leader()].term_start_index
         )
         assert self.run_until(ready, limit_s), 'no leader'
@@ -296,7 +296,7 @@
     def compact(self, name, keep=5):
         node = self.nodes[name]
         data = _pack(self.applied[name])
-        self.step(name, consensus.Compact(node.commit, data, keep))
+        self.step(name, consensus.Compact(node.commit_index, data, keep))
 
     def change(self, voters, learners=()):
         """Change the controllers through the leader."""
@@ -308,7 +308,7 @@
         done = lambda: any(  # noqa: E731
             node.role == consensus.LEADER
             and node.config == config
-            and node.commit >= node.config_index
+            and node.commit_index >= node.config_index
             for node in self.nodes.values()
         )
         assert self.run_until(done), 'the change was not committed'
--- a/mountridge/consensus/consensus.py
+++ b/mountridge/consensus/consensus.py
@@ -88,7 +88,10 @@
 
 def _change(node: Node, event: ChangeConfig, now_s: float) -> list[Effect]:
     _check_leads(node)
-    if node.commit < node.config_index or node.commit < node.term_start_index:
+    if (
+        node.commit_index < node.config_index
+        or node.commit_index < node.term_start_index
+    ):
         raise errors.RefusedChange('an earlier change is not yet committed')
     before, after = set(node.config.voters), set(event.config.voters)
     if len(before ^ after) > 1:
@@ -121,7 +124,7 @@
     index = event.index
     term = node.log.term_at(index)
     newest = node.snapshot.index if node.snapshot else -1
-    if term is None or index > node.commit or index <= newest:
+    if term is None or index > node.commit_index or index <= newest:
         return []
     log = node.log
     node.snapshot = Snapshot(index, term, log.config_at(index), event.data)
--- a/mountridge/consensus/consensustypes.py
+++ b/mountridge/consensus/consensustypes.py
@@ -57,7 +57,7 @@
     prev_index: int
     prev_term: int
     entries: list[entries.Entry]
-    commit: int
+    leader_commit: int
     sent_s: float  # the leader's clock, echoed by the answer
 
 
@@ -280,7 +280,7 @@
         self.timing = timing
         self.rng = rng
         self.config_index, self.config = log.config()
-        self.commit = log.base_index
+        self.commit_index = log.base_index
         self.role = FOLLOWER
         self.leader_id = ''
         self.leader_contact_s = 0.0
--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -82,7 +82,7 @@
         self._settings = app.settings['controller']
         self.disk = storage.Storage(self._settings['data'])
         self.node = self._make_node()
-        self.applied = self.node.commit
+        self.applied = self.node.commit_index
         self._peers: dict[str, tuple[str, sockets.Caller]] = {}
         #: Where those that wrote to this replica take answers, by id.
         self._senders: dict[str, str] = {}
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -147,7 +147,7 @@
         prev,
         node.log.term_at(prev),
         part,
-        node.commit,
+        node.commit_index,
         now_s,
     )
     return Send(peer_id, message, early=True)
@@ -223,7 +223,7 @@
     """Return whether no other leader can have been elected by now."""
     if node.role != LEADER or node.transfer_target:
         return False
-    if node.commit < node.term_start_index:
+    if node.commit_index < node.term_start_index:
         return False
     span_s = node.timing.election_s * LEASE_PART
     return now_s < quorum_time(node, now_s) + span_s
@@ -231,7 +231,7 @@
 
 def answer_reads(node: Node, now_s: float) -> list[Effect]:
     """Confirm reads that a quorum has answered since they were asked."""
-    if not node.pending_reads or node.commit < node.term_start_index:
+    if not node.pending_reads or node.commit_index < node.term_start_index:
         return []
     confirmed_s = quorum_time(node, now_s)
     ready = [r for r, asked_s in node.pending_reads if asked_s <= confirmed_s]
@@ -294,11 +294,11 @@
     ]
     matches.sort(reverse=True)
     index = min(matches[node.quorum() - 1], node.log.last_index)
-    if index <= node.commit or node.log.term_at(index) != node.term:
+    if index <= node.commit_index or node.log.term_at(index) != node.term:
         return []
     effects = _advance(node, index) + answer_reads(node, now_s)
     if (
-        node.commit >= node.config_index
+        node.commit_index >= node.config_index
         and node.node_id not in node.config.voters
     ):
         effects += beat(node, now_s) + _step_down(node)
@@ -306,8 +306,8 @@
 
 
 def _advance(node: Node, index: int) -> list[Effect]:
-    ready = node.log.between(node.commit + 1, index)
-    node.commit = index
+    ready = node.log.between(node.commit_index + 1, index)
+    node.commit_index = index
     return [Apply(ready)] if ready else []
 
 
@@ -398,7 +398,7 @@
     if ok:
         effects += _take(node, message.entries)
         match = message.prev_index + len(message.entries)
-        effects += _commit_up_to(node, min(message.commit, match))
+        effects += _commit_up_to(node, min(message.leader_commit, match))
     answer = AppendEntriesReply(node.term, ok, match, message.sent_s)
     return effects + [Send(sender, answer)]
 
@@ -409,14 +409,14 @@
     prev = message.prev_index
     if prev < log.base_index:
         # Part of a snapshot here; what is committed is known to agree.
-        return False, node.commit
+        return False, node.commit_index
     term = log.term_at(prev)
     if term == message.prev_term:
         return True, prev
     if term is None:
         return False, log.last_index
     hint = prev - 1
-    while hint > node.commit and log.term_at(hint) == term:
+    while hint > node.commit_index and log.term_at(hint) == term:
         hint -= 1
     return False, hint
 
@@ -434,7 +434,7 @@
 
 
 def _commit_up_to(node: Node, index: int) -> list[Effect]:
-    return _advance(node, index) if index > node.commit else []
+    return _advance(node, index) if index > node.commit_index else []
 
 
 def on_install_snapshot(
@@ -446,7 +446,7 @@
         return [Send(sender, answer)]
     effects = _follow(node, sender, message.term, now_s)
     offset, done = _gather(node, message)
-    if done and message.index > node.commit:
+    if done and message.index > node.commit_index:
         effects += _replace_log(node, message)
     answer = InstallSnapshotReply(
         node.term, message.index, offset, done, message.sent_s
@@ -455,7 +455,7 @@
 
 
 def _gather(node: Node, message: InstallSnapshot) -> tuple[int, bool]:
-    if message.index <= node.commit:
+    if message.index <= node.commit_index:
         return message.size, True
     key = (message.index, message.index_term)
     if node.incoming_snapshot is None or node.incoming_snapshot[:2] != key:
@@ -479,7 +479,7 @@
         node.log.trim(snapshot.index)
     else:
         node.log = entries.Log(snapshot.index, snapshot.term, snapshot.config)
-    node.commit = snapshot.index
+    node.commit_index = snapshot.index
     node.synced_index = node.log.last_index
     _follow_config(node)
     return [SaveSnapshot(snapshot, installed=True)]
--- a/mountridge/control/changes.py
+++ b/mountridge/control/changes.py
@@ -48,7 +48,7 @@
         node = self.replica.node
         now_s = self.app.now_s()
         lines = [
-            f'term {node.term}, commit {node.commit}, '
+            f'term {node.term}, commit {node.commit_index}, '
             f'leader {node.leader_id or "unknown"}'
         ]
         for node_id, address in sorted(node.config.addresses().items()):
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -337,7 +337,7 @@
             'role': self.replica.node.role,
             'term': self.replica.node.term,
             'leader': self.replica.node.leader_id,
-            'commit': self.replica.node.commit,
+            'commit': self.replica.node.commit_index,
             'config': self.replica.node.config._asdict(),
             'index': self.machine.view.index,
             'table_version': self.machine.version,
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -100,8 +100,9 @@
     ),
     Mutant(
         'commitment of earlier terms', 'replication',
-        'if index <= node.commit or node.log.term_at(index) != node.term:',
-        'if index <= node.commit:', 'consensus',
+        'if index <= node.commit_index or node.log.term_at(index) != '
+        'node.term:',
+        'if index <= node.commit_index:', 'consensus',
     ),
     Mutant(
         'the leader counts what it has not synced', 'replication',
