--- a/features/steps/consensus_steps.py
+++ b/features/steps/consensus_steps.py
@@ -297,7 +297,7 @@
     node.term += 1
     node.synced_index = old.index
     for peer in node.peers.values():
-        peer.match = old.index
+        peer.match_index = old.index
     effects = consensus.step(
         node, consensus.Synced(old.index, old.term), world.now_s
     )
@@ -437,7 +437,7 @@
         world.change(voters, ['c9'])
         peer = world.nodes[leader].peers['c9']
         # Its newest answer is fresh, but its copy is old.
-        peer.acked_sent_s, peer.match = world.now_s, 3
+        peer.acked_sent_s, peer.match_index = world.now_s, 3
         wanted = voters + ['c9']
     elif change.startswith('a learner'):
         world.change(voters, ['c9'])
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -394,7 +394,7 @@
     for key, peer in node.peers.items():
         if key in answering:
             peer.acked_sent_s = 100.0
-            peer.match = -1000 if key in behind else node.log.last_index
+            peer.match_index = -1000 if key in behind else node.log.last_index
     return node
 
 
--- a/mountridge/consensus/consensustypes.py
+++ b/mountridge/consensus/consensustypes.py
@@ -62,11 +62,11 @@
 
 
 class AppendEntriesReply(typing.NamedTuple):
-    """Answer to `AppendEntries`; ``match`` is a hint where not ``ok``."""
+    """Answer to `AppendEntries`; unless ``ok``, ``match_index`` is a hint."""
 
     term: int
     ok: bool
-    match: int
+    match_index: int
     sent_s: float
 
 
@@ -252,7 +252,7 @@
 
     def __init__(self, next_index: int):
         self.next_index = next_index
-        self.match = 0
+        self.match_index = 0
         #: When the newest message that it has answered was sent.
         self.acked_sent_s = float('-inf')
         self.inflight = 0
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -242,7 +242,7 @@
 def best_voter(node: Node, now_s: float) -> str:
     """Return the voter that is furthest and was heard of late, or ''."""
     fresh = [
-        (peer.match, peer_id)
+        (peer.match_index, peer_id)
         for peer_id, peer in node.peers.items()
         if peer_id in node.config.voters
         and now_s - peer.acked_sent_s < node.timing.election_s
@@ -260,7 +260,7 @@
         raise errors.RefusedChange(f'{peer_id} is no learner; add it first')
     if now_s - peer.acked_sent_s > node.timing.election_s:
         raise errors.RefusedChange(f'{peer_id} was not heard of late')
-    behind = node.log.last_index - peer.match
+    behind = node.log.last_index - peer.match_index
     if behind > CAUGHT_UP:
         raise errors.RefusedChange(f'{peer_id} is {behind} entries behind')
 
@@ -270,7 +270,7 @@
     peer = node.peers.get(node.transfer_target)
     if peer is None:
         return []
-    if peer.match == node.log.last_index:
+    if peer.match_index == node.log.last_index:
         return [Send(node.transfer_target, TimeoutNow(node.term))]
     return _feed(node, node.transfer_target, now_s, beat=True)
 
@@ -289,7 +289,11 @@
 def _commit(node: Node, now_s: float) -> list[Effect]:
     """Commit what a quorum holds durably, in entries of this term."""
     matches = [
-        node.synced_index if voter == node.node_id else node.peers[voter].match
+        (
+            node.synced_index
+            if voter == node.node_id
+            else node.peers[voter].match_index
+        )
         for voter in node.config.voters
     ]
     matches.sort(reverse=True)
@@ -337,12 +341,12 @@
         return []
     peer.inflight = max(0, peer.inflight - 1)
     if not message.ok:
-        if message.match >= peer.match:
-            peer.next_index = message.match + 1
+        if message.match_index >= peer.match_index:
+            peer.next_index = message.match_index + 1
             peer.inflight = 0
-    elif message.match > peer.match:
-        peer.match = message.match
-        peer.next_index = max(peer.next_index, peer.match + 1)
+    elif message.match_index > peer.match_index:
+        peer.match_index = message.match_index
+        peer.next_index = max(peer.next_index, peer.match_index + 1)
     effects = _commit(node, now_s)
     if node.role != LEADER:
         return effects
@@ -495,8 +499,8 @@
     if peer is None:
         return []
     if message.done:
-        peer.match = max(peer.match, message.index)
-        peer.next_index = peer.match + 1
+        peer.match_index = max(peer.match_index, message.index)
+        peer.next_index = peer.match_index + 1
         peer.install_offset = -1
         return _commit(node, now_s) + _feed_still(node, sender, now_s)
     if not node.snapshot or message.index != node.snapshot.index:
--- a/mountridge/control/changes.py
+++ b/mountridge/control/changes.py
@@ -56,7 +56,7 @@
             state = ''
             peer = node.peers.get(node_id)
             if peer:
-                behind = node.log.last_index - peer.match
+                behind = node.log.last_index - peer.match_index
                 age_s = min(999.0, now_s - peer.acked_sent_s)
                 state = f', {behind} behind, heard {age_s:.1f} s ago'
             lines.append(f'{node_id} {kind} at {address}{state}')
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -106,8 +106,9 @@
     ),
     Mutant(
         'the leader counts what it has not synced', 'replication',
-        'node.synced_index if voter == node.node_id else',
-        'node.log.last_index if voter == node.node_id else', 'consensus',
+        'node.synced_index\n            if voter == node.node_id',
+        'node.log.last_index\n            if voter == node.node_id',
+        'consensus',
     ),
     Mutant(
         'a follower answers before its sync', 'replication',
