--- a/mountridge/consensus/consensustypes.py
+++ b/mountridge/consensus/consensustypes.py
@@ -299,7 +299,7 @@
         self.peers: dict[str, Peer] = {}
         self.synced_index = log.last_index
         self.term_start_index = 0  # first own entry of a leader
-        self.led_s = 0.0  # when it began to lead
+        self.leader_since_s = 0.0  # when it began to lead
         self.next_heartbeat_s = 0.0
         self.pending_reads: list[tuple[int, float]] = []
         self.transfer_target = ''
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -60,7 +60,7 @@
     node.transfer_target = ''
     node.pending_reads = []
     node.peers = {}
-    node.led_s = now_s
+    node.leader_since_s = now_s
     node.term_start_index = node.log.last_index + 1
     _follow_config(node)
     name = node.node_id.encode()
@@ -180,7 +180,7 @@
 
 def lead(node: Node, now_s: float) -> list[Effect]:
     """Do what a leader does as time passes."""
-    heard_s = max(node.led_s, quorum_time(node, now_s))
+    heard_s = max(node.leader_since_s, quorum_time(node, now_s))
     if now_s - heard_s > node.timing.election_s:
         return _step_down(node)
     if node.transfer_target and now_s >= node.transfer_deadline_s:
--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -138,7 +138,11 @@
     if key == node.node_id:
         return False
     peer = node.peers.get(key)
-    heard_s = max(node.led_s, peer.acked_sent_s) if peer else node.led_s
+    heard_s = (
+        max(node.leader_since_s, peer.acked_sent_s)
+        if peer
+        else node.leader_since_s
+    )
     return now_s - heard_s > SILENT_VOTER_S
 
 
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -132,7 +132,7 @@
     ),
     Mutant(
         'check-quorum before the first answers', 'replication',
-        'heard_s = max(node.led_s, quorum_time(node, now_s))',
+        'heard_s = max(node.leader_since_s, quorum_time(node, now_s))',
         'heard_s = quorum_time(node, now_s)', 'consensus',
     ),
     Mutant(
