--- a/features/steps/consensus_steps.py
+++ b/features/steps/consensus_steps.py
@@ -460,7 +460,7 @@
     world = context.world
     context.victim = world.wait_leader()
     context.begun_s = world.now_s
-    world.step(context.victim, consensus.HandOver(''))
+    world.step(context.victim, consensus.TransferLeadership(''))
     assert not consensus_lease(world.nodes[context.victim], world.now_s)
 
 
@@ -518,7 +518,7 @@
         world.compact(leader, keep=pick)
     elif action == 'hand over' and leader:
         try:
-            world.step(leader, consensus.HandOver(''))
+            world.step(leader, consensus.TransferLeadership(''))
         except errors.MountridgeError:
             pass
 
--- a/mountridge/consensus/consensus.py
+++ b/mountridge/consensus/consensus.py
@@ -15,22 +15,23 @@
 
 from mountridge.consensus.consensustypes import (
     AppendEntries, AppendEntriesReply, Apply, CANDIDATE, ChangeConfig, Compact,
-    Effect, FOLLOWER, HandOver, InstallSnapshot, InstallSnapshotReply, LEADER,
+    Effect, FOLLOWER, InstallSnapshot, InstallSnapshotReply, LEADER,
     LeaderQuery, Message, Node, NotLeading, Peer, PRE_CANDIDATE, Propose, Read,
     ReadReady, Received, RequestVote, Role, SaveEntries, SaveSnapshot,
-    SaveVote, Send, Snapshot, Synced, Tick, TimeoutNow, Timing, VoteReply,
+    SaveVote, Send, Snapshot, Synced, Tick, TimeoutNow, Timing,
+    TransferLeadership, VoteReply,
 )  # fmt: skip
 from mountridge.consensus import elections, entries, replication
 from mountridge import errors
 
 __all__ = [
     'AppendEntries', 'AppendEntriesReply', 'Apply', 'CANDIDATE',
-    'ChangeConfig', 'Compact', 'Effect', 'FOLLOWER', 'HandOver',
-    'InstallSnapshot', 'InstallSnapshotReply', 'LEADER', 'LeaderQuery',
-    'make_node', 'Message', 'Node', 'NotLeading', 'Peer', 'PRE_CANDIDATE',
-    'Propose', 'Read', 'ReadReady', 'Received', 'RequestVote', 'Role',
-    'SaveEntries', 'SaveSnapshot', 'SaveVote', 'Send', 'Snapshot', 'step',
-    'Synced', 'Tick', 'TimeoutNow', 'Timing', 'VoteReply',
+    'ChangeConfig', 'Compact', 'Effect', 'FOLLOWER', 'InstallSnapshot',
+    'InstallSnapshotReply', 'LEADER', 'LeaderQuery', 'make_node', 'Message',
+    'Node', 'NotLeading', 'Peer', 'PRE_CANDIDATE', 'Propose', 'Read',
+    'ReadReady', 'Received', 'RequestVote', 'Role', 'SaveEntries',
+    'SaveSnapshot', 'SaveVote', 'Send', 'Snapshot', 'step', 'Synced', 'Tick',
+    'TimeoutNow', 'Timing', 'TransferLeadership', 'VoteReply',
 ]  # fmt: skip
 
 
@@ -109,14 +110,16 @@
     return replication.append_own(node, [entry], now_s)
 
 
-def _hand_over(node: Node, event: HandOver, now_s: float) -> list[Effect]:
+def _transfer_leadership(
+    node: Node, event: TransferLeadership, now_s: float
+) -> list[Effect]:
     _check_leads(node)
     target = event.target or replication.best_voter(node, now_s)
     if target == node.node_id or target not in node.config.voters:
         raise errors.RefusedChange(f'{target or "no one"} can take over')
     node.transfer_target = target
     node.transfer_deadline_s = now_s + node.timing.election_s
-    return replication.continue_hand_over(node, now_s)
+    return replication.continue_transfer(node, now_s)
 
 
 def _compact(node: Node, event: Compact, now_s: float) -> list[Effect]:
@@ -156,7 +159,7 @@
     Propose: _propose,
     Read: _read,
     ChangeConfig: _change,
-    HandOver: _hand_over,
+    TransferLeadership: _transfer_leadership,
     Compact: _compact,
 }
 
--- a/mountridge/consensus/consensustypes.py
+++ b/mountridge/consensus/consensustypes.py
@@ -163,7 +163,7 @@
     config: entries.Config
 
 
-class HandOver(typing.NamedTuple):
+class TransferLeadership(typing.NamedTuple):
     """Give leadership to ``target``, or to the best voter if ''."""
 
     target: str
--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -439,7 +439,7 @@
         """Give leadership to another voter before a planned stop."""
         if self.node.role != consensus.LEADER:
             return
-        self.put(consensus.HandOver(''))
+        self.put(consensus.TransferLeadership(''))
         with trio.move_on_after(2 * self._settings['election_s']):
             while self.node.role == consensus.LEADER:
                 await trio.sleep(self._settings['heartbeat_s'] / 4)
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -13,7 +13,7 @@
 
 __all__ = [
     'adopt_term', 'answer_reads', 'append_own', 'beat', 'begin_to_lead',
-    'best_voter', 'check_caught_up', 'continue_hand_over', 'lead',
+    'best_voter', 'check_caught_up', 'continue_transfer', 'lead',
     'lease_valid', 'on_append_entries', 'on_append_entries_reply',
     'on_install_snapshot', 'on_install_snapshot_reply', 'on_synced',
     'quorum_time',
@@ -265,7 +265,7 @@
         raise errors.RefusedChange(f'{peer_id} is {behind} entries behind')
 
 
-def continue_hand_over(node: Node, now_s: float) -> list[Effect]:
+def continue_transfer(node: Node, now_s: float) -> list[Effect]:
     """Let the chosen voter stand for election once it has all entries."""
     peer = node.peers.get(node.transfer_target)
     if peer is None:
@@ -352,7 +352,7 @@
         return effects
     effects += answer_reads(node, now_s)
     if node.transfer_target == sender:
-        return effects + continue_hand_over(node, now_s)
+        return effects + continue_transfer(node, now_s)
     return effects + _feed(node, sender, now_s)
 
 
--- a/mountridge/control/changes.py
+++ b/mountridge/control/changes.py
@@ -116,5 +116,5 @@
         target = message.name or replication.best_voter(node, self.app.now_s())
         if target not in node.config.voters or target == node.node_id:
             raise errors.RefusedChange(f'{target or "no one"} can take over')
-        self.replica.put(consensus.HandOver(target))
+        self.replica.put(consensus.TransferLeadership(target))
         return f'leadership is handed to {target}'
