--- a/features/steps/consensus_steps.py
+++ b/features/steps/consensus_steps.py
@@ -456,7 +456,7 @@
 
 
 @when('the leader hands over')
-def hand_over(context):
+def transfer_leadership(context):
     world = context.world
     context.victim = world.wait_leader()
     context.begun_s = world.now_s
--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -167,7 +167,7 @@
         self.catch_up()
         await trio.sleep_forever()
 
-    async def hand_over(self):
+    async def transfer_leadership(self):
         self.world.elect(without=self.app.name)
 
 
--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -435,7 +435,7 @@
         self._wake.set()
         _unwrap(await receiver.receive())
 
-    async def hand_over(self) -> None:
+    async def transfer_leadership(self) -> None:
         """Give leadership to another voter before a planned stop."""
         if self.node.role != consensus.LEADER:
             return
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -399,7 +399,7 @@
     app.tasks += [controller.replica.run, controller.watch]
     app.handlers[messages.RankReport] = controller.groups.on_report
     app.tasks += [controller.expire, controller.tell_loads]
-    app.drain.append(controller.replica.hand_over)
+    app.drain.append(controller.replica.transfer_leadership)
     app.dumpers['controller'] = controller.dump
     return controller
 
