--- a/features/worlds/consensus.py
+++ b/features/worlds/consensus.py
@@ -223,7 +223,7 @@
         elif isinstance(effect, consensus.SaveSnapshot):
             if effect.installed:
                 self.applied[name] = _unpack(effect.snapshot.data)
-        elif isinstance(effect, consensus.Role):
+        elif isinstance(effect, consensus.RoleChanged):
             if effect.role == consensus.LEADER:
                 other = self.leaders.setdefault(effect.term, name)
                 if other != name:
--- a/mountridge/consensus/consensus.py
+++ b/mountridge/consensus/consensus.py
@@ -17,7 +17,7 @@
     AppendEntries, AppendEntriesReply, Apply, CANDIDATE, ChangeConfig, Compact,
     Effect, FOLLOWER, InstallSnapshot, InstallSnapshotReply, LEADER,
     LeaderQuery, Message, Node, NotLeading, Peer, PRE_CANDIDATE, Propose, Read,
-    ReadReady, Received, RequestVote, Role, SaveEntries, SaveSnapshot,
+    ReadReady, Received, RequestVote, RoleChanged, SaveEntries, SaveSnapshot,
     SaveVote, Send, Snapshot, Synced, Tick, TimeoutNow, Timing,
     TransferLeadership, VoteReply,
 )  # fmt: skip
@@ -29,7 +29,7 @@
     'ChangeConfig', 'Compact', 'Effect', 'FOLLOWER', 'InstallSnapshot',
     'InstallSnapshotReply', 'LEADER', 'LeaderQuery', 'make_node', 'Message',
     'Node', 'NotLeading', 'Peer', 'PRE_CANDIDATE', 'Propose', 'Read',
-    'ReadReady', 'Received', 'RequestVote', 'Role', 'SaveEntries',
+    'ReadReady', 'Received', 'RequestVote', 'RoleChanged', 'SaveEntries',
     'SaveSnapshot', 'SaveVote', 'Send', 'Snapshot', 'step', 'Synced', 'Tick',
     'TimeoutNow', 'Timing', 'TransferLeadership', 'VoteReply',
 ]  # fmt: skip
--- a/mountridge/consensus/consensustypes.py
+++ b/mountridge/consensus/consensustypes.py
@@ -231,7 +231,7 @@
     ok: bool
 
 
-class Role(typing.NamedTuple):
+class RoleChanged(typing.NamedTuple):
     """The role has changed."""
 
     role: str
@@ -240,7 +240,13 @@
 
 
 Effect = (
-    SaveVote | SaveEntries | SaveSnapshot | Send | Apply | ReadReady | Role
+    SaveVote
+    | SaveEntries
+    | SaveSnapshot
+    | Send
+    | Apply
+    | ReadReady
+    | RoleChanged
 )
 
 
--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -74,7 +74,7 @@
         self,
         app: application.Application,
         machine: Machine,
-        on_role: typing.Callable[[consensus.Role], None],
+        on_role: typing.Callable[[consensus.RoleChanged], None],
     ):
         self.app = app
         self.machine = machine
@@ -272,8 +272,8 @@
             elif isinstance(effect, consensus.ReadReady):
                 result = None if effect.ok else errors.NotLeader()
                 self._answer(self._reads, effect.read_id, result)
-            elif isinstance(effect, consensus.Role):
-                self._role(effect)
+            elif isinstance(effect, consensus.RoleChanged):
+                self._announce_role(effect)
             elif isinstance(effect, consensus.SaveSnapshot):
                 self._restore(effect)
 
@@ -378,7 +378,7 @@
                 lost = found[0] != entry.term
                 _send(found[1], errors.NotLeader() if lost else result)
 
-    def _role(self, role: consensus.Role) -> None:
+    def _announce_role(self, role: consensus.RoleChanged) -> None:
         logger.info('role', **role._asdict())
         self.app.metrics.incr(f'raft.{role.role}')
         self._on_role(role)
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -4,9 +4,9 @@
 
 from mountridge.consensus.consensustypes import (
     AppendEntries, AppendEntriesReply, Apply, Effect, FOLLOWER,
-    InstallSnapshot, InstallSnapshotReply, LEADER, Node, Peer, ReadReady, Role,
-    SaveEntries, SaveSnapshot, SaveVote, Send, Snapshot, STAGGER_S, Synced,
-    TimeoutNow,
+    InstallSnapshot, InstallSnapshotReply, LEADER, Node, Peer, ReadReady,
+    RoleChanged, SaveEntries, SaveSnapshot, SaveVote, Send, Snapshot,
+    STAGGER_S, Synced, TimeoutNow,
 )  # fmt: skip
 from mountridge.consensus import entries
 from mountridge import errors
@@ -42,7 +42,7 @@
     failed = [ReadReady(read_id, False) for read_id, _ in node.pending_reads]
     node.pending_reads = []
     if was_leader:
-        return failed + [Role(FOLLOWER, node.term, '')]
+        return failed + [RoleChanged(FOLLOWER, node.term, '')]
     return failed
 
 
@@ -67,7 +67,7 @@
     entry = entries.Entry(
         node.term, node.term_start_index, entries.EMPTY, name
     )
-    role = Role(LEADER, node.term, node.node_id)
+    role = RoleChanged(LEADER, node.term, node.node_id)
     return [role] + append_own(node, [entry], now_s)
 
 
@@ -369,7 +369,7 @@
     node.leader_contact_s = now_s
     if node.leader_id != sender:
         node.leader_id = sender
-        effects.append(Role(FOLLOWER, term, sender))
+        effects.append(RoleChanged(FOLLOWER, term, sender))
     _await_leader(node, now_s)
     return effects
 
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -73,7 +73,7 @@
         held = self.machine.instances.get(instance_id)
         return held.born_ms if held else 0
 
-    def on_role(self, role: consensus.Role) -> None:
+    def on_role(self, role: consensus.RoleChanged) -> None:
         """Begin a term with no knowledge of earlier leaders' leases."""
         self.leases = leases.LeaseTable(
             self.app.now_s(), self.app.settings['lease']['lease_s']
