--- a/mountridge/consensus/consensus.py
+++ b/mountridge/consensus/consensus.py
@@ -114,7 +114,7 @@
     node: Node, event: TransferLeadership, now_s: float
 ) -> list[Effect]:
     _check_leads(node)
-    target = event.target or replication.best_voter(node, now_s)
+    target = event.target or replication.best_transfer_target(node, now_s)
     if target == node.node_id or target not in node.config.voters:
         raise errors.RefusedChange(f'{target or "no one"} can take over')
     node.transfer_target = target
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -13,7 +13,7 @@
 
 __all__ = [
     'adopt_term', 'answer_reads', 'append_own', 'beat', 'begin_to_lead',
-    'best_voter', 'check_caught_up', 'continue_transfer', 'lead',
+    'best_transfer_target', 'check_caught_up', 'continue_transfer', 'lead',
     'lease_valid', 'on_append_entries', 'on_append_entries_reply',
     'on_install_snapshot', 'on_install_snapshot_reply', 'on_synced',
     'quorum_time',
@@ -239,7 +239,7 @@
     return [ReadReady(read_id, True) for read_id in ready]
 
 
-def best_voter(node: Node, now_s: float) -> str:
+def best_transfer_target(node: Node, now_s: float) -> str:
     """Return the voter that is furthest and was heard of late, or ''."""
     fresh = [
         (peer.match_index, peer_id)
--- a/mountridge/control/changes.py
+++ b/mountridge/control/changes.py
@@ -113,7 +113,9 @@
 
     async def _transfer(self, message: messages.Admin) -> str:
         node = self.replica.node
-        target = message.name or replication.best_voter(node, self.app.now_s())
+        target = message.name or replication.best_transfer_target(
+            node, self.app.now_s()
+        )
         if target not in node.config.voters or target == node.node_id:
             raise errors.RefusedChange(f'{target or "no one"} can take over')
         self.replica.put(consensus.TransferLeadership(target))
