--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -390,7 +390,7 @@
     rng = random.Random(1)
     leader = next(iter(config.voters))
     node = consensus.make_node(leader, 1, '', log, timing, rng, 0.0)
-    replication.begin_to_lead(node, 0.0)
+    replication.become_leader(node, 0.0)
     for key, peer in node.peers.items():
         if key in answering:
             peer.acked_sent_s = 100.0
--- a/mountridge/consensus/elections.py
+++ b/mountridge/consensus/elections.py
@@ -176,7 +176,7 @@
     node.votes = {node.node_id}
     effects: list[Effect] = [SaveVote(node.term, node.voted_for)]
     if len(node.votes) >= node.quorum():
-        return effects + replication.begin_to_lead(node, now_s)
+        return effects + replication.become_leader(node, now_s)
     return effects + _ask(node, node.term, False, handed)
 
 
@@ -267,4 +267,4 @@
         return []
     if message.pre_vote:
         return _begin_election(node, False, now_s)
-    return replication.begin_to_lead(node, now_s)
+    return replication.become_leader(node, now_s)
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -12,7 +12,7 @@
 from mountridge import errors
 
 __all__ = [
-    'adopt_term', 'answer_reads', 'append_own', 'beat', 'begin_to_lead',
+    'adopt_term', 'answer_reads', 'append_own', 'beat', 'become_leader',
     'best_transfer_target', 'check_caught_up', 'continue_transfer', 'lead',
     'lease_valid', 'on_append_entries', 'on_append_entries_reply',
     'on_install_snapshot', 'on_install_snapshot_reply', 'on_synced',
@@ -53,7 +53,7 @@
     return [SaveVote(term, '')] + _step_down(node)
 
 
-def begin_to_lead(node: Node, now_s: float) -> list[Effect]:
+def become_leader(node: Node, now_s: float) -> list[Effect]:
     """Lead: append an empty entry, by which earlier ones get committed."""
     node.role = LEADER
     node.leader_id = node.node_id
