--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -163,14 +163,14 @@
         self._read_count += 1
         sender, receiver = trio.open_memory_channel(1)
         self._reads[self._read_count] = sender
-        self.put(consensus.Read(self._read_count))
+        self.submit_event(consensus.Read(self._read_count))
         _unwrap(await receiver.receive())
 
     async def stepped(self) -> None:
         """Return after the next step, by which much may have changed."""
         await self._stepped.wait()
 
-    def put(self, event: typing.Any) -> None:
+    def submit_event(self, event: typing.Any) -> None:
         """Hand an event to the core."""
         self._events.append(event)
         self._wake.set()
@@ -190,7 +190,7 @@
             self.app.metrics.incr('raft.wrong_identity')
             self._answer_for_former(message, inner)
             return
-        self.put(consensus.Received(message.sender, inner))
+        self.submit_event(consensus.Received(message.sender, inner))
 
     def _answer_for_former(
         self, message: messages.Raft, inner: consensus.Message
@@ -294,7 +294,7 @@
         await self._write(self.disk.save, vote, fresh)
         if fresh:
             last = fresh[-1]
-            self.put(consensus.Synced(last.index, last.term))
+            self.submit_event(consensus.Synced(last.index, last.term))
 
     async def _write(self, write: typing.Callable, *args: typing.Any) -> None:
         """Write to the disk, again and again while it has no room.
@@ -328,7 +328,9 @@
         after = log.between(snapshot.index + 1, log.last_index)
         await self._write(self.disk.rotate, snapshot, after)
         if after:
-            self.put(consensus.Synced(after[-1].index, after[-1].term))
+            self.submit_event(
+                consensus.Synced(after[-1].index, after[-1].term)
+            )
 
     def _restore(self, effect: consensus.SaveSnapshot) -> None:
         if effect.installed:
@@ -417,7 +419,7 @@
             return
         finally:
             self._snapshotting = False
-        self.put(consensus.Compact(index, data, KEEP_ENTRIES))
+        self.submit_event(consensus.Compact(index, data, KEEP_ENTRIES))
         logger.info('snapshot', index=index, size_bytes=len(data))
 
     async def change_config(self, config: entries.Config) -> None:
@@ -439,7 +441,7 @@
         """Give leadership to another voter before a planned stop."""
         if self.node.role != consensus.LEADER:
             return
-        self.put(consensus.TransferLeadership(''))
+        self.submit_event(consensus.TransferLeadership(''))
         with trio.move_on_after(2 * self._settings['election_s']):
             while self.node.role == consensus.LEADER:
                 await trio.sleep(self._settings['heartbeat_s'] / 4)
--- a/mountridge/control/changes.py
+++ b/mountridge/control/changes.py
@@ -118,5 +118,5 @@
         )
         if target not in node.config.voters or target == node.node_id:
             raise errors.RefusedChange(f'{target or "no one"} can take over')
-        self.replica.put(consensus.TransferLeadership(target))
+        self.replica.submit_event(consensus.TransferLeadership(target))
         return f'leadership is handed to {target}'
