--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -157,7 +157,7 @@
         await trio.sleep(COMMIT_S)
         self.check_leader()
 
-    async def stepped(self):
+    async def wait_for_step(self):
         await trio.sleep(COMMIT_S)
 
     def on_raft(self, peer, message):
--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -166,7 +166,7 @@
         self.submit_event(consensus.Read(self._read_count))
         _unwrap(await receiver.receive())
 
-    async def stepped(self) -> None:
+    async def wait_for_step(self) -> None:
         """Return after the next step, by which much may have changed."""
         await self._stepped.wait()
 
--- a/mountridge/control/leadership.py
+++ b/mountridge/control/leadership.py
@@ -43,5 +43,5 @@
                     named = getattr(refusal, 'leader_address', '')
                     if named and named != question.besides:
                         raise
-                await self.replica.stepped()
+                await self.replica.wait_for_step()
         raise errors.NotLeader()
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1024,7 +1024,7 @@
     ),
     Mutant(
         'losses: an answer is not held', 'leadership',
-        'await self.replica.stepped()', 'break', 'losses',
+        'await self.replica.wait_for_step()', 'break', 'losses',
         'A controller tells',
     ),
     Mutant(
