--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -677,7 +677,7 @@
     def check_leader(self):
         pass
 
-    async def confirm(self):
+    async def confirm_leadership(self):
         raise errors.NotLeader()
 
 
--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -153,7 +153,7 @@
             raise reply
         return reply
 
-    async def confirm(self):
+    async def confirm_leadership(self):
         await trio.sleep(COMMIT_S)
         self.check_leader()
 
--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -157,7 +157,7 @@
         self._wake.set()
         return _unwrap(await receiver.receive())
 
-    async def confirm(self) -> None:
+    async def confirm_leadership(self) -> None:
         """Return once a quorum has confirmed that this replica leads."""
         self.check_leader()
         self._read_count += 1
--- a/mountridge/control/halloffice.py
+++ b/mountridge/control/halloffice.py
@@ -36,7 +36,7 @@
         self, peer: application.Peer, _: messages.ReadHalls
     ) -> messages.HallsReply:
         """Return all halls, confirmed by a quorum."""
-        await self._replica.confirm()
+        await self._replica.confirm_leadership()
         listed = self._machine.halls
         return messages.HallsReply([listed[name] for name in sorted(listed)])
 
--- a/mountridge/control/quarantineoffice.py
+++ b/mountridge/control/quarantineoffice.py
@@ -171,7 +171,7 @@
         self, peer: application.Peer, _: messages.ReadQuarantine
     ) -> messages.QuarantineReply:
         """Return all that is or was held back, confirmed by a quorum."""
-        await self._replica.confirm()
+        await self._replica.confirm_leadership()
         return messages.QuarantineReply(
             list(self._machine.quarantine.values())
         )
@@ -183,7 +183,7 @@
 
         :raises NotHeldBack: it is not known.
         """
-        await self._replica.confirm()
+        await self._replica.confirm_leadership()
         if order.digest not in self._machine.quarantine:
             raise errors.NotHeldBack(order.digest.hex())
         await self._release(order.digest, False, 'an operator ordered it')
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -270,7 +270,7 @@
 
     async def table(self, peer, _: messages.Table) -> messages.TableReply:
         """Return the newest table, its log, and what is in force."""
-        await self.replica.confirm()
+        await self.replica.confirm_leadership()
         now_s = self.app.now_s()
         machine = self.machine
         index = machine.versions[-1].index if machine.versions else 0
@@ -292,7 +292,7 @@
         self.replica.check_leader()
         if put.version <= self.machine.routes_version:
             # Held already, or overtaken: confirmed, but not written again.
-            await self.replica.confirm()
+            await self.replica.confirm_leadership()
             return messages.RoutesReply(self.machine.routes_version, b'')
         logger.info('routes offered', version=put.version)
         reply = await self.propose(
@@ -305,7 +305,7 @@
         self, peer, _: messages.ReadRoutes
     ) -> messages.RoutesReply:
         """Return the newest routes document, confirmed by a quorum."""
-        await self.replica.confirm()
+        await self.replica.confirm_leadership()
         return self.machine.routes()
 
     async def claim(self, peer, claim: messages.Claim) -> messages.ClaimReply:
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1141,7 +1141,8 @@
     ),
     Mutant(
         'halls: a leader tells what no quorum confirms', 'halloffice',
-        '        await self._replica.confirm()\n', '', 'halls', 'deposed',
+        '        await self._replica.confirm_leadership()\n', '', 'halls',
+        'deposed',
     ),
     Mutant(
         'halls: an order of any age is sent', 'hallorders',
