--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -507,7 +507,7 @@
                 key = f'{hall}{rng.random()}'
                 held = [k for k, h in config.halls.items() if h == hall]
                 if len(held) < 3:
-                    config = config.join(key, 'a', hall)
+                    config = config.with_controller(key, 'a', hall)
 
 
 @then('no change lets one hall hold a majority that it did not hold')
@@ -520,7 +520,7 @@
 def coming(context, hall):
     key = f'{hall}-coming'
     context.behind = key
-    context.controllers = context.controllers.join(key, 'a', hall)
+    context.controllers = context.controllers.with_controller(key, 'a', hall)
 
 
 @then('the next voter is awaited, and then taken from {hall}')
@@ -823,7 +823,7 @@
     config = entries.unpack_config(old)
     assert config == entries.Config({'a': 'x'}, {'b': 'y'}, {})
     assert config.pack() == old
-    told = config.join('a', 'x', 'north')
+    told = config.with_controller('a', 'x', 'north')
     assert entries.unpack_config(told.pack()).halls == {'a': 'north'}
 
 
--- a/mountridge/consensus/entries.py
+++ b/mountridge/consensus/entries.py
@@ -34,7 +34,7 @@
         """Return the addresses of voters and learners."""
         return {**self.learners, **self.voters}
 
-    def join(self, key: str, address: str, hall: str) -> 'Config':
+    def with_controller(self, key: str, address: str, hall: str) -> 'Config':
         """Return this with ``key``, as a learner where it is new."""
         halls = {**self.halls, key: hall} if hall else self.halls
         if key in self.voters:
--- a/mountridge/control/changes.py
+++ b/mountridge/control/changes.py
@@ -73,7 +73,7 @@
         if known not in (None, message.address):
             raise errors.RefusedChange(f'{reply.text} is there, at {known}')
         if known is None:
-            added = config.join(reply.text, message.address, '')
+            added = config.with_controller(reply.text, message.address, '')
             await self.replica.change_config(added)
         # Else the call was sent again, since its answer was late.
         return f'{reply.text} is a learner'
--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -202,7 +202,7 @@
                 config = self.replica.node.config
                 await self.replica.change_config(config.without(known[0]))
         config = self.replica.node.config
-        joined = config.join(join.node_id, join.address, join.hall)
+        joined = config.with_controller(join.node_id, join.address, join.hall)
         await self.replica.change_config(joined)
 
     async def ask_to_join(self) -> None:
@@ -270,7 +270,7 @@
         if node.config.halls.get(node.node_id, '') != hall:
             # A leader does not ask to join, and an older log tells no halls.
             address = self.app.settings['bind']
-            return node.config.join(node.node_id, address, hall)
+            return node.config.with_controller(node.node_id, address, hall)
         now_s = self.app.now_s()
         return next_config(node, self._most_voters, self._hall_losses, now_s)
 
