--- a/features/worlds/consensus.py
+++ b/features/worlds/consensus.py
@@ -39,7 +39,7 @@
         elif isinstance(effect, consensus.SaveSnapshot):
             snapshot = effect.snapshot
             keep = [e for e in self.entries if e.index > snapshot.index]
-            if effect.installed:
+            if effect.from_leader:
                 same = [
                     e
                     for e in self.entries
@@ -189,7 +189,7 @@
     def step(self, name, event):
         effects = consensus.step(self.nodes[name], event, self.now_s)
         for effect in effects:
-            if isinstance(effect, consensus.Send) and effect.early:
+            if isinstance(effect, consensus.Send) and effect.before_sync:
                 self.send(name, effect)
         if effects:
             delay_s = 0.0
@@ -215,13 +215,13 @@
             self.at(delay_s, 'deliver', name, effect.to, effect.message)
 
     def carry_out(self, name, effect):
-        if isinstance(effect, consensus.Send) and not effect.early:
+        if isinstance(effect, consensus.Send) and not effect.before_sync:
             self.send(name, effect)
         elif isinstance(effect, consensus.Apply):
             for entry in effect.entries:
                 self.apply(name, entry)
         elif isinstance(effect, consensus.SaveSnapshot):
-            if effect.installed:
+            if effect.from_leader:
                 self.applied[name] = _unpack(effect.snapshot.data)
         elif isinstance(effect, consensus.RoleChanged):
             if effect.role == consensus.LEADER:
--- a/mountridge/consensus/consensus.py
+++ b/mountridge/consensus/consensus.py
@@ -7,7 +7,7 @@
 hand-over of leadership. No I/O: `step` takes an event and the present time
 and returns effects, which the caller carries out in their order. Whatever
 stands after a `SaveVote`, `SaveEntries` or `SaveSnapshot` must not be done
-before those are synced, but for a `Send` marked ``early``.
+before those are synced, but for a `Send` marked ``before_sync``.
 """
 
 import random
--- a/mountridge/consensus/consensustypes.py
+++ b/mountridge/consensus/consensustypes.py
@@ -19,7 +19,7 @@
 #: Voters that know at the same moment that nobody leads stand for election
 #: this far apart, in the order of their ids: above a pre-vote, a vote and
 #: a sync between halls, 15 to 25 ms.
-STAGGER_S = 0.03
+ELECTION_STAGGER_S = 0.03
 
 
 class Timing(typing.NamedTuple):
@@ -207,7 +207,7 @@
 
     snapshot: Snapshot
     #: From the leader: entries in the log are replaced too.
-    installed: bool = False
+    from_leader: bool = False
 
 
 class Send(typing.NamedTuple):
@@ -215,7 +215,7 @@
 
     to: str
     message: Message
-    early: bool = False
+    before_sync: bool = False
 
 
 class Apply(typing.NamedTuple):
--- a/mountridge/consensus/elections.py
+++ b/mountridge/consensus/elections.py
@@ -25,8 +25,8 @@
 """
 
 from mountridge.consensus.consensustypes import (
-    CANDIDATE, Effect, FOLLOWER, LEADER, LeaderQuery, Node, NotLeading,
-    PRE_CANDIDATE, RequestVote, SaveVote, Send, STAGGER_S, TimeoutNow,
+    CANDIDATE, Effect, ELECTION_STAGGER_S, FOLLOWER, LEADER, LeaderQuery, Node,
+    NotLeading, PRE_CANDIDATE, RequestVote, SaveVote, Send, TimeoutNow,
     VoteReply,
 )  # fmt: skip
 from mountridge.consensus import entries, replication
@@ -40,7 +40,7 @@
 #: Whoever has granted a pre-vote waits this long before it asks for its own:
 #: the other's election should be over. Below the pause between pre-votes, so
 #: that one whose asking leads nowhere holds up nobody.
-YIELD_S = 2 * STAGGER_S
+YIELD_S = 2 * ELECTION_STAGGER_S
 #: Pre-votes that are lost double the pause before the next one, up to the
 #: election time; this bounds the count alone.
 MOST_DOUBLINGS = 8
@@ -71,7 +71,7 @@
 def _stand_soon(node: Node, now_s: float) -> None:
     order = sorted(node.config.voters)
     if node.node_id in order:
-        wait_s = STAGGER_S * order.index(node.node_id)
+        wait_s = ELECTION_STAGGER_S * order.index(node.node_id)
         node.election_at_s = min(node.election_at_s, now_s + wait_s)
 
 
--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -261,11 +261,11 @@
     async def _carry_out(self, effects: list[consensus.Effect]) -> None:
         """Send early messages, save all in one frame, then do the rest."""
         for effect in effects:
-            if isinstance(effect, consensus.Send) and effect.early:
+            if isinstance(effect, consensus.Send) and effect.before_sync:
                 self._send(effect)
         await self._save(effects)
         for effect in effects:
-            if isinstance(effect, consensus.Send) and not effect.early:
+            if isinstance(effect, consensus.Send) and not effect.before_sync:
                 self._send(effect)
             elif isinstance(effect, consensus.Apply):
                 self._apply(effect.entries)
@@ -322,7 +322,7 @@
     async def _save_snapshot(self, effect: consensus.SaveSnapshot) -> None:
         """Put a snapshot in place; the log here is what is past it."""
         snapshot = effect.snapshot
-        if effect.installed:
+        if effect.from_leader:
             await self._write(self.disk.write_snapshot, snapshot)
         log = self.node.log
         after = log.between(snapshot.index + 1, log.last_index)
@@ -333,7 +333,7 @@
             )
 
     def _restore(self, effect: consensus.SaveSnapshot) -> None:
-        if effect.installed:
+        if effect.from_leader:
             self.machine.restore(effect.snapshot.data)
             self.applied = effect.snapshot.index
             logger.info('snapshot installed', index=self.applied)
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -3,10 +3,10 @@
 """Replication of the consensus core: leading, following, catching up."""
 
 from mountridge.consensus.consensustypes import (
-    AppendEntries, AppendEntriesReply, Apply, Effect, FOLLOWER,
-    InstallSnapshot, InstallSnapshotReply, LEADER, Node, Peer, ReadReady,
-    RoleChanged, SaveEntries, SaveSnapshot, SaveVote, Send, Snapshot,
-    STAGGER_S, Synced, TimeoutNow,
+    AppendEntries, AppendEntriesReply, Apply, Effect, ELECTION_STAGGER_S,
+    FOLLOWER, InstallSnapshot, InstallSnapshotReply, LEADER, Node, Peer,
+    ReadReady, RoleChanged, SaveEntries, SaveSnapshot, SaveVote, Send,
+    Snapshot, Synced, TimeoutNow,
 )  # fmt: skip
 from mountridge.consensus import entries
 from mountridge import errors
@@ -150,7 +150,7 @@
         node.commit_index,
         now_s,
     )
-    return Send(peer_id, message, early=True)
+    return Send(peer_id, message, before_sync=True)
 
 
 def _feed_snapshot(
@@ -175,7 +175,7 @@
         snapshot.data[offset : offset + INSTALL_BYTES],
         now_s,
     )
-    return [Send(peer_id, message, early=True)]
+    return [Send(peer_id, message, before_sync=True)]
 
 
 def lead(node: Node, now_s: float) -> list[Effect]:
@@ -386,7 +386,7 @@
     node.pre_vote_attempts = 0
     order = [v for v in sorted(node.config.voters) if v != node.leader_id]
     place = order.index(node.node_id) if node.node_id in order else len(order)
-    wait_s = STAGGER_S * (1 + place + node.rng.random() / 4)
+    wait_s = ELECTION_STAGGER_S * (1 + place + node.rng.random() / 4)
     node.election_at_s = now_s + node.timing.election_s + wait_s
 
 
@@ -486,7 +486,7 @@
     node.commit_index = snapshot.index
     node.synced_index = node.log.last_index
     _follow_config(node)
-    return [SaveSnapshot(snapshot, installed=True)]
+    return [SaveSnapshot(snapshot, from_leader=True)]
 
 
 def on_install_snapshot_reply(
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -113,7 +113,8 @@
     Mutant(
         'a follower answers before its sync', 'replication',
         'return effects + [Send(sender, answer)]\n\n\ndef _fits',
-        'return effects + [Send(sender, answer, early=True)]\n\n\ndef _fits',
+        'return effects + [Send(sender, answer, before_sync=True)]\n\n\n'
+        'def _fits',
         'consensus',
     ),
     Mutant(
@@ -1033,7 +1034,7 @@
     ),
     Mutant(
         'losses: voters stand at random times', 'replication',
-        'wait_s = STAGGER_S * (1 + place + node.rng.random() / 4)',
+        'wait_s = ELECTION_STAGGER_S * (1 + place + node.rng.random() / 4)',
         'wait_s = node.timing.election_s * node.rng.random()', 'losses',
         'the next leader is there soon',
     ),
