--- a/mountridge/consensus/consensustypes.py
+++ b/mountridge/consensus/consensustypes.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Types of the consensus core: its messages, events, effects and state."""
+"""Types of the consensus core: messages, events, effects and state."""
 
 import random
 import typing
@@ -12,38 +12,41 @@
 CANDIDATE = 'candidate'
 LEADER = 'leader'
 
-#: Two starts share a number once in 4e18; it fits a signed 64-bit integer.
+#: The id of a start fits a signed 64-bit integer.
 START_ID_BITS = 62
 
 
-#: Voters that know at the same moment that nobody leads stand for election
-#: this far apart, in the order of their ids: above a pre-vote, a vote and
-#: a sync between halls, 15 to 25 ms.
+#: Interval between the elections of voters that detect the loss of the
+#: leader at the same time, in the order of their ids. Longer than a pre-vote,
+#: a vote and a sync between halls.
 ELECTION_STAGGER_S = 0.03
 
 
 class Timing(typing.NamedTuple):
-    """Times of the protocol, in seconds."""
+    """Timing of the protocol, in seconds."""
 
-    heartbeat_s: float
-    election_s: float  # silence after which a leader may be replaced
+    heartbeat_s: float  # interval
+    election_s: float  # time without a heartbeat before an election
 
 
 # Messages between controllers.
 
 
 class RequestVote(typing.NamedTuple):
-    """Candidate to voters; ``pre_vote`` asks only whether it could win."""
+    """Candidate to voters: request for a vote.
+
+    A pre-vote only asks whether the candidate could win.
+    """
 
     term: int
     pre_vote: bool
     last_index: int
     last_term: int
-    leadership_transfer: bool  # the leader itself asked for this election
+    leadership_transfer: bool  # the leader requested this election
 
 
 class VoteReply(typing.NamedTuple):
-    """Answer to `RequestVote`."""
+    """Reply to `RequestVote`."""
 
     term: int
     pre_vote: bool
@@ -51,18 +54,21 @@
 
 
 class AppendEntries(typing.NamedTuple):
-    """Leader to followers: entries past ``prev_index``, or a heartbeat."""
+    """Leader to followers: entries after ``prev_index``, or a heartbeat."""
 
     term: int
     prev_index: int
     prev_term: int
     entries: list[entries.Entry]
     leader_commit: int
-    sent_s: float  # the leader's clock, echoed by the answer
+    sent_s: float  # the leader's clock, echoed in the reply
 
 
 class AppendEntriesReply(typing.NamedTuple):
-    """Answer to `AppendEntries`; unless ``ok``, ``match_index`` is a hint."""
+    """Reply to `AppendEntries`.
+
+    Unless ``ok``, ``match_index`` is where the logs may match.
+    """
 
     term: int
     ok: bool
@@ -71,7 +77,7 @@
 
 
 class InstallSnapshot(typing.NamedTuple):
-    """Leader to a follower far behind: one part of a snapshot."""
+    """Leader to a follower far behind: one chunk of a snapshot."""
 
     term: int
     index: int
@@ -84,7 +90,10 @@
 
 
 class InstallSnapshotReply(typing.NamedTuple):
-    """Answer to `InstallSnapshot`: the offset reached, ``done`` when whole."""
+    """Reply to `InstallSnapshot`.
+
+    ``offset`` is the next byte wanted; ``done`` means that all was received.
+    """
 
     term: int
     index: int
@@ -94,19 +103,19 @@
 
 
 class TimeoutNow(typing.NamedTuple):
-    """Leader to a voter: stand for election now."""
+    """Leader to a voter: start an election now."""
 
     term: int
 
 
 class LeaderQuery(typing.NamedTuple):
-    """A controller that has just started asks another whether it leads."""
+    """Restarted controller to another: asks whether it leads."""
 
-    start_id: int  # of this start; an answer to an earlier one is void
+    start_id: int  # of the sender; replies to earlier starts are ignored
 
 
 class NotLeading(typing.NamedTuple):
-    """Answer to `LeaderQuery`, which a leader never gives."""
+    """Reply to `LeaderQuery`, never sent by a leader."""
 
     start_id: int
 
@@ -128,18 +137,18 @@
 
 
 class Tick(typing.NamedTuple):
-    """Time has passed."""
+    """Check the timers."""
 
 
 class Received(typing.NamedTuple):
-    """A message came from another controller."""
+    """A message from another controller was received."""
 
     sender: str
     message: Message
 
 
 class Synced(typing.NamedTuple):
-    """The log is durable here up to the entry (index, term)."""
+    """The local log is durable up to the entry (index, term)."""
 
     index: int
     term: int
@@ -152,33 +161,33 @@
 
 
 class Read(typing.NamedTuple):
-    """Confirm by a quorum that this is still the leader."""
+    """Confirm with a quorum that this node is still the leader."""
 
     read_id: int
 
 
 class ChangeConfig(typing.NamedTuple):
-    """Set the controllers (leader only, one voter at a time)."""
+    """Change the configuration (leader only, one voter at a time)."""
 
     config: entries.Config
 
 
 class TransferLeadership(typing.NamedTuple):
-    """Give leadership to ``target``, or to the best voter if ''."""
+    """Transfer leadership to ``target``, or to the best voter if ''."""
 
     target: str
 
 
 class Compact(typing.NamedTuple):
-    """A snapshot of the state up to ``index`` was made."""
+    """A snapshot of the state up to ``index`` was written."""
 
     index: int
     data: bytes
-    keep: int  # entries before it that are kept for slow followers
+    keep: int  # entries up to the index that stay in memory for slow followers
 
 
 class Snapshot(typing.NamedTuple):
-    """State up to an index, with the configuration then."""
+    """State up to an index, with the configuration at that index."""
 
     index: int
     term: int
@@ -190,28 +199,28 @@
 
 
 class SaveVote(typing.NamedTuple):
-    """Make the term and the vote in it durable."""
+    """Persist the term and the vote in that term."""
 
     term: int
     voted_for: str
 
 
 class SaveEntries(typing.NamedTuple):
-    """Make entries durable; what stood from the first one on is cut."""
+    """Persist entries; they replace all from the first one's index on."""
 
     entries: list[entries.Entry]
 
 
 class SaveSnapshot(typing.NamedTuple):
-    """Make a snapshot durable; entries up to its index may go."""
+    """Persist a snapshot; entries up to its index may be removed."""
 
     snapshot: Snapshot
-    #: From the leader: entries in the log are replaced too.
+    #: Received from the leader; replaces the log and the state as well.
     from_leader: bool = False
 
 
 class Send(typing.NamedTuple):
-    """Send a message; ``early`` needs no sync before it."""
+    """Send a message, if ``before_sync`` without waiting for the sync."""
 
     to: str
     message: Message
@@ -225,14 +234,14 @@
 
 
 class ReadReady(typing.NamedTuple):
-    """The read is confirmed; false where leadership was lost."""
+    """A read was confirmed, or failed because leadership was lost."""
 
     read_id: int
     ok: bool
 
 
 class RoleChanged(typing.NamedTuple):
-    """The role has changed."""
+    """The role or the known leader has changed."""
 
     role: str
     term: int
@@ -254,17 +263,17 @@
 
 
 class Peer:
-    """What a leader knows of one other controller."""
+    """The leader's state of replication to one other controller."""
 
     def __init__(self, next_index: int):
         self.next_index = next_index
         self.match_index = 0
-        #: When the newest message that it has answered was sent.
+        #: When the newest acknowledged message was sent.
         self.acked_sent_s = float('-inf')
         self.inflight = 0
-        #: When it last answered; never, for a peer not heard from yet.
+        #: When the last reply was received; infinite before the first one.
         self.last_reply_s = float('inf')
-        self.install_offset = -1  # -1: no snapshot is under way
+        self.install_offset = -1  # -1: no snapshot transfer in progress
 
 
 class Node:
@@ -290,22 +299,21 @@
         self.role = FOLLOWER
         self.leader_id = ''
         self.leader_contact_s = 0.0
-        #: When this process began, and a number that no earlier start had.
         self.started_s = 0.0
         self.start_id = rng.getrandbits(START_ID_BITS)
-        #: Who may be the leader that was followed before the start, and
-        #: whether it must be one of them.
+        #: Controllers that may be the leader followed before the start, and
+        #: whether that leader must be one of them.
         self.possible_leaders: set[str] = set()
         self.possible_leaders_known = False
         self.next_query_s = 0.0
         self.election_at_s = 0.0
         self.votes: set[str] = set()
-        self.pre_vote_attempts = 0  # asked for since a leader was heard
-        self.pre_vote_sent_s = 0.0  # when a pre-vote was last asked for
+        self.pre_vote_attempts = 0  # since the last contact with a leader
+        self.pre_vote_sent_s = 0.0  # when a pre-vote was last requested
         self.peers: dict[str, Peer] = {}
         self.synced_index = log.last_index
-        self.term_start_index = 0  # first own entry of a leader
-        self.leader_since_s = 0.0  # when it began to lead
+        self.term_start_index = 0  # first entry of this node's term as leader
+        self.leader_since_s = 0.0
         self.next_heartbeat_s = 0.0
         self.pending_reads: list[tuple[int, float]] = []
         self.transfer_target = ''
@@ -314,5 +322,5 @@
         self.incoming_snapshot: tuple[int, int, bytearray] | None = None
 
     def quorum(self) -> int:
-        """Return how many voters make a majority."""
+        """Return the number of voters that make a majority."""
         return len(self.config.voters) // 2 + 1
