--- a/mountridge/consensus/consensus.py
+++ b/mountridge/consensus/consensus.py
@@ -46,7 +46,7 @@
 ) -> Node:
     """Return a follower that starts from what its storage holds."""
     node = Node(node_id, term, voted_for, log, timing, rng)
-    elections.begin_anew(node, now_s)
+    elections.reset_after_start(node, now_s)
     return node
 
 
@@ -54,8 +54,8 @@
     if node.role == LEADER:
         return replication.lead(node, now_s)
     if now_s >= node.election_at_s:
-        return elections.begin_pre_vote(node, now_s)
-    return elections.ask_who_leads(node, now_s)
+        return elections.start_pre_vote(node, now_s)
+    return elections.query_leaders(node, now_s)
 
 
 def _propose(node: Node, event: Propose, now_s: float) -> list[Effect]:
--- a/mountridge/consensus/elections.py
+++ b/mountridge/consensus/elections.py
@@ -32,59 +32,59 @@
 from mountridge.consensus import entries, replication
 
 __all__ = [
-    'ask_who_leads', 'begin_anew', 'begin_pre_vote', 'on_leader_query',
-    'on_not_leading', 'on_request_vote', 'on_timeout_now', 'on_vote_reply',
-    'restart_timer',
+    'on_leader_query', 'on_not_leading', 'on_request_vote', 'on_timeout_now',
+    'on_vote_reply', 'query_leaders', 'reset_after_start',
+    'reset_election_timer', 'start_pre_vote',
 ]  # fmt: skip
 
 #: Whoever has granted a pre-vote waits this long before it asks for its own:
 #: the other's election should be over. Below the pause between pre-votes, so
 #: that one whose asking leads nowhere holds up nobody.
-YIELD_S = 2 * ELECTION_STAGGER_S
+ELECTION_DEFER_S = 2 * ELECTION_STAGGER_S
 #: Pre-votes that are lost double the pause before the next one, up to the
 #: election time; this bounds the count alone.
-MOST_DOUBLINGS = 8
+MAX_DOUBLINGS = 8
 
 
-def restart_timer(node: Node, now_s: float) -> None:
+def reset_election_timer(node: Node, now_s: float) -> None:
     """Wait for a random time, so that elections seldom collide."""
     span_s = node.timing.election_s * (1 + node.rng.random())
     node.election_at_s = now_s + span_s
 
 
-def begin_anew(node: Node, now_s: float) -> None:
+def reset_after_start(node: Node, now_s: float) -> None:
     """Begin a start of this process, in which no leader was heard yet."""
     node.started_s = node.leader_contact_s = node.next_query_s = now_s
     node.possible_leaders_known = node.term == node.log.last_term
-    node.possible_leaders = _may_lead(node.log) - {node.node_id}
-    restart_timer(node, now_s)
+    node.possible_leaders = _possible_leaders(node.log) - {node.node_id}
+    reset_election_timer(node, now_s)
     if node.possible_leaders_known and not node.possible_leaders:
-        _stand_soon(node, now_s)
+        _schedule_election(node, now_s)
 
 
-def _may_lead(log: entries.Log) -> set[str]:
+def _possible_leaders(log: entries.Log) -> set[str]:
     """Return who may be the leader of the term in which a log ends."""
     leader_id = log.leader_of_last_term()
     return {leader_id} if leader_id else log.all_voters()
 
 
-def _stand_soon(node: Node, now_s: float) -> None:
+def _schedule_election(node: Node, now_s: float) -> None:
     order = sorted(node.config.voters)
     if node.node_id in order:
         wait_s = ELECTION_STAGGER_S * order.index(node.node_id)
         node.election_at_s = min(node.election_at_s, now_s + wait_s)
 
 
-def _heard_nobody(node: Node) -> bool:
+def _no_contact_since_start(node: Node) -> bool:
     return node.leader_contact_s == node.started_s
 
 
-def _nobody_leads(node: Node, now_s: float) -> bool:
+def _no_active_lease(node: Node, now_s: float) -> bool:
     """Return whether no leader's lease can rest on this voter."""
     if node.leader_id == node.node_id:
         return False
     if (
-        _heard_nobody(node)
+        _no_contact_since_start(node)
         and node.possible_leaders_known
         and not node.possible_leaders
     ):
@@ -92,15 +92,15 @@
     return now_s - node.leader_contact_s >= node.timing.election_s
 
 
-def ask_who_leads(node: Node, now_s: float) -> list[Effect]:
+def query_leaders(node: Node, now_s: float) -> list[Effect]:
     """Ask those that may lead, until they answer or silence tells."""
-    if not _heard_nobody(node) or _nobody_leads(node, now_s):
+    if not _no_contact_since_start(node) or _no_active_lease(node, now_s):
         return []
     if now_s < node.next_query_s:
         return []
     node.next_query_s = now_s + node.timing.heartbeat_s
-    started = LeaderQuery(node.start_id)
-    return [Send(voter, started) for voter in sorted(node.possible_leaders)]
+    query = LeaderQuery(node.start_id)
+    return [Send(voter, query) for voter in sorted(node.possible_leaders)]
 
 
 def on_leader_query(
@@ -110,7 +110,7 @@
     if node.role == LEADER:
         return []
     effects: list[Effect] = [Send(sender, NotLeading(message.start_id))]
-    if _heard_nobody(node) and sender in node.possible_leaders:
+    if _no_contact_since_start(node) and sender in node.possible_leaders:
         # It was not there yet when it was asked.
         effects.append(Send(sender, LeaderQuery(node.start_id)))
     return effects
@@ -129,24 +129,26 @@
     if (
         not node.possible_leaders
         and node.possible_leaders_known
-        and _heard_nobody(node)
+        and _no_contact_since_start(node)
     ):
-        _stand_soon(node, now_s)
+        _schedule_election(node, now_s)
     return []
 
 
-def _others(node: Node) -> list[str]:
+def _other_voters(node: Node) -> list[str]:
     return [v for v in node.config.voters if v != node.node_id]
 
 
-def _ask(node: Node, term: int, pre: bool, handed: bool) -> list[Effect]:
+def _request_votes(
+    node: Node, term: int, pre_vote: bool, transfer: bool
+) -> list[Effect]:
     message = RequestVote(
-        term, pre, node.log.last_index, node.log.last_term, handed
+        term, pre_vote, node.log.last_index, node.log.last_term, transfer
     )
-    return [Send(voter, message) for voter in _others(node)]
+    return [Send(voter, message) for voter in _other_voters(node)]
 
 
-def begin_pre_vote(node: Node, now_s: float) -> list[Effect]:
+def start_pre_vote(node: Node, now_s: float) -> list[Effect]:
     """Ask whether an election could be won, without a new term.
 
     That harms nobody, so it is asked again soon, and then less and less
@@ -155,7 +157,7 @@
     span_s = node.timing.heartbeat_s * 2**node.pre_vote_attempts
     span_s = min(span_s, node.timing.election_s) * (1 + node.rng.random())
     node.election_at_s = now_s + span_s
-    node.pre_vote_attempts = min(node.pre_vote_attempts + 1, MOST_DOUBLINGS)
+    node.pre_vote_attempts = min(node.pre_vote_attempts + 1, MAX_DOUBLINGS)
     if node.node_id not in node.config.voters:
         return []
     node.role = PRE_CANDIDATE
@@ -163,12 +165,12 @@
     node.leader_id = ''
     node.votes = {node.node_id}
     if len(node.votes) >= node.quorum():
-        return _begin_election(node, False, now_s)
-    return _ask(node, node.term + 1, True, False)
+        return _start_election(node, False, now_s)
+    return _request_votes(node, node.term + 1, True, False)
 
 
-def _begin_election(node: Node, handed: bool, now_s: float) -> list[Effect]:
-    restart_timer(node, now_s)
+def _start_election(node: Node, transfer: bool, now_s: float) -> list[Effect]:
+    reset_election_timer(node, now_s)
     node.role = CANDIDATE
     node.leader_id = ''
     node.term += 1
@@ -177,7 +179,7 @@
     effects: list[Effect] = [SaveVote(node.term, node.voted_for)]
     if len(node.votes) >= node.quorum():
         return effects + replication.become_leader(node, now_s)
-    return effects + _ask(node, node.term, False, handed)
+    return effects + _request_votes(node, node.term, False, transfer)
 
 
 def on_timeout_now(
@@ -188,15 +190,15 @@
         return []
     if node.node_id not in node.config.voters:
         return []
-    return _begin_election(node, True, now_s)
+    return _start_election(node, True, now_s)
 
 
 def _is_up_to_date(node: Node, message: RequestVote) -> bool:
-    theirs = (message.last_term, message.last_index)
-    return theirs >= (node.log.last_term, node.log.last_index)
+    candidate_log = (message.last_term, message.last_index)
+    return candidate_log >= (node.log.last_term, node.log.last_index)
 
 
-def _goes_first(
+def _has_priority(
     node: Node, sender: str, message: RequestVote, now_s: float
 ) -> bool:
     """Return whether this voter asks for pre-votes too, and goes first.
@@ -204,19 +206,22 @@
     Of two that ask at the same moment both would be granted, then both
     elections fail, and the next ones come an election time later.
     """
-    if node.role != PRE_CANDIDATE or now_s > node.pre_vote_sent_s + YIELD_S:
+    if (
+        node.role != PRE_CANDIDATE
+        or now_s > node.pre_vote_sent_s + ELECTION_DEFER_S
+    ):
         return False
-    theirs = (message.last_term, message.last_index)
-    if theirs != (node.log.last_term, node.log.last_index):
+    candidate_log = (message.last_term, message.last_index)
+    if candidate_log != (node.log.last_term, node.log.last_index):
         return False
     return node.node_id < sender
 
 
-def _stand_back(node: Node, now_s: float) -> None:
+def _defer_election(node: Node, now_s: float) -> None:
     """Let another voter, which was granted a pre-vote, be elected."""
     if node.role == PRE_CANDIDATE:
         node.role = FOLLOWER
-    node.election_at_s = max(node.election_at_s, now_s + YIELD_S)
+    node.election_at_s = max(node.election_at_s, now_s + ELECTION_DEFER_S)
 
 
 def on_request_vote(
@@ -227,13 +232,13 @@
     While a leader was heard of late the request is ignored, term and all:
     that is what the leader's lease rests on.
     """
-    if not message.leadership_transfer and not _nobody_leads(node, now_s):
+    if not message.leadership_transfer and not _no_active_lease(node, now_s):
         return []
     if message.pre_vote:
         granted = message.term > node.term and _is_up_to_date(node, message)
-        granted = granted and not _goes_first(node, sender, message, now_s)
+        granted = granted and not _has_priority(node, sender, message, now_s)
         if granted:
-            _stand_back(node, now_s)
+            _defer_election(node, now_s)
         return [Send(sender, VoteReply(message.term, True, granted))]
     effects: list[Effect] = []
     if message.term > node.term:
@@ -245,7 +250,7 @@
     )
     if granted:
         node.voted_for = sender
-        restart_timer(node, now_s)
+        reset_election_timer(node, now_s)
         effects.append(SaveVote(node.term, sender))
     return effects + [Send(sender, VoteReply(node.term, False, granted))]
 
@@ -266,5 +271,5 @@
     if len(node.votes) < node.quorum():
         return []
     if message.pre_vote:
-        return _begin_election(node, False, now_s)
+        return _start_election(node, False, now_s)
     return replication.become_leader(node, now_s)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -37,7 +37,7 @@
     ),
     Mutant(
         'votes while a leader is heard', 'elections',
-        'if not message.leadership_transfer and not _nobody_leads('
+        'if not message.leadership_transfer and not _no_active_lease('
         'node, now_s):',
         'if False:',
         'consensus',
@@ -73,7 +73,7 @@
     ),
     Mutant(
         'one that starts anew does not ask who leads', 'elections',
-        'return [Send(voter, started) for voter in '
+        'return [Send(voter, query) for voter in '
         'sorted(node.possible_leaders)]',
         'return []', 'consensus',
     ),
@@ -84,12 +84,12 @@
     ),
     Mutant(
         'votes for a shorter log', 'elections',
-        'return theirs >= (node.log.last_term, node.log.last_index)',
+        'return candidate_log >= (node.log.last_term, node.log.last_index)',
         'return True', 'consensus',
     ),
     Mutant(
         'a vote at once after a restart', 'elections',
-        'node.possible_leaders = _may_lead(node.log) - {node.node_id}',
+        'node.possible_leaders = _possible_leaders(node.log) - {node.node_id}',
         'node.possible_leaders = set()',
         'consensus',
     ),
@@ -1045,12 +1045,13 @@
     ),
     Mutant(
         'losses: two pre-votes at once are both granted', 'elections',
-        'granted = granted and not _goes_first(node, sender, message, now_s)',
+        'granted = granted and not '
+        '_has_priority(node, sender, message, now_s)',
         'pass', 'losses', 'at the same moment',
     ),
     Mutant(
         'losses: who granted a pre-vote stands too', 'elections',
-        '            _stand_back(node, now_s)\n', '            pass\n',
+        '            _defer_election(node, now_s)\n', '            pass\n',
         'losses', 'at the same moment',
     ),
     Mutant(
