--- a/mountridge/consensus/elections.py
+++ b/mountridge/consensus/elections.py
@@ -1,27 +1,28 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Elections of the consensus core: pre-votes, votes, and what ends them.
-
-A vote is given only where no leader's lease can rest on this voter. That is
-so after a silence of the election time. After a start of all controllers it
-is known sooner, without a clock: a lease that rests on what this process
-said before its start is held by a leader that still leads. So a voter that
-has just started asks whoever may be that leader, and once it is told that it
-does not lead, it may vote and stand for election at once.
-
-Who may be it: this voter answers a leader only once it has saved the leader's
-term. Where its log ends in that term, it has all entries up to the leader's
-first one, which names the leader. Where that entry has gone into a snapshot,
-the leader is a voter of the snapshot's configuration or of a later one, or
-its removal is committed and it has stepped down. Where the log ends in an
-earlier term than the saved one, nothing tells, and only silence counts.
-Leaders of earlier terms hold no lease: their successor was elected without.
-
-A box that has lost its disk has a new identity, and answers for its former
-one: the process of that one has ended, or its address were not free.
-
-Why its answer suffices: it did not lead when it answered, after this start,
-and can lead later only by votes and answers that are given later still.
+"""Elections of the consensus core: pre-votes, votes and election timeouts.
+
+A voter grants a vote only if no leader's lease can depend on its replies.
+That holds once it has had no contact with a leader for the election time.
+After a restart it can be known sooner, without a clock: a lease that depends
+on replies from before the restart belongs to a leader that still leads. So a
+restarted voter asks every possible leader whether it leads. Once all have
+denied it, the voter may vote and start an election at once.
+
+Possible leaders: a voter replies to a leader only after it has saved the
+leader's term. If its log ends in that term, it has the leader's first entry,
+which names the leader. If that entry was compacted into a snapshot, the
+leader is a voter of the snapshot's configuration or of a later one, or its
+removal is committed and it has stepped down. If the log ends in an earlier
+term than the saved one, the leader is unknown and only the timeout counts.
+Leaders of earlier terms hold no lease: a successor was elected after them.
+
+A box that has lost its disk has a new identity and replies for its former
+one: the former process has ended, or its address would still be in use.
+
+One denial per possible leader suffices: it did not lead when it replied,
+after this restart, and can become leader only by votes and replies that are
+sent later still.
 """
 
 from mountridge.consensus.consensustypes import (
@@ -37,23 +38,23 @@
     'reset_election_timer', 'start_pre_vote',
 ]  # fmt: skip
 
-#: Whoever has granted a pre-vote waits this long before it asks for its own:
-#: the other's election should be over. Below the pause between pre-votes, so
-#: that one whose asking leads nowhere holds up nobody.
+#: A voter that granted a pre-vote requests none for this long, in which the
+#: other's election should end. Shorter than the interval between pre-votes,
+#: so that a candidate that cannot win does not block the others.
 ELECTION_DEFER_S = 2 * ELECTION_STAGGER_S
-#: Pre-votes that are lost double the pause before the next one, up to the
-#: election time; this bounds the count alone.
+#: The interval doubles with each failed pre-vote, up to the election time;
+#: this only bounds the exponent.
 MAX_DOUBLINGS = 8
 
 
 def reset_election_timer(node: Node, now_s: float) -> None:
-    """Wait for a random time, so that elections seldom collide."""
+    """Set a random election timeout, so that elections seldom collide."""
     span_s = node.timing.election_s * (1 + node.rng.random())
     node.election_at_s = now_s + span_s
 
 
 def reset_after_start(node: Node, now_s: float) -> None:
-    """Begin a start of this process, in which no leader was heard yet."""
+    """Initialize the timers and the possible leaders after a start."""
     node.started_s = node.leader_contact_s = node.next_query_s = now_s
     node.possible_leaders_known = node.term == node.log.last_term
     node.possible_leaders = _possible_leaders(node.log) - {node.node_id}
@@ -63,7 +64,7 @@
 
 
 def _possible_leaders(log: entries.Log) -> set[str]:
-    """Return who may be the leader of the term in which a log ends."""
+    """Return the possible leaders of the term in which the log ends."""
     leader_id = log.leader_of_last_term()
     return {leader_id} if leader_id else log.all_voters()
 
@@ -80,7 +81,7 @@
 
 
 def _no_active_lease(node: Node, now_s: float) -> bool:
-    """Return whether no leader's lease can rest on this voter."""
+    """Return whether no leader's lease can depend on this voter."""
     if node.leader_id == node.node_id:
         return False
     if (
@@ -93,7 +94,7 @@
 
 
 def query_leaders(node: Node, now_s: float) -> list[Effect]:
-    """Ask those that may lead, until they answer or silence tells."""
+    """Ask the possible leaders, until they reply or the timeout ends."""
     if not _no_contact_since_start(node) or _no_active_lease(node, now_s):
         return []
     if now_s < node.next_query_s:
@@ -106,12 +107,12 @@
 def on_leader_query(
     node: Node, sender: str, message: LeaderQuery, now_s: float
 ) -> list[Effect]:
-    """Tell one that has just started that this controller does not lead."""
+    """Reply to a restarted controller, unless this one leads."""
     if node.role == LEADER:
         return []
     effects: list[Effect] = [Send(sender, NotLeading(message.start_id))]
     if _no_contact_since_start(node) and sender in node.possible_leaders:
-        # It was not there yet when it was asked.
+        # The sender has just started and may have missed the first query.
         effects.append(Send(sender, LeaderQuery(node.start_id)))
     return effects
 
@@ -119,7 +120,7 @@
 def on_not_leading(
     node: Node, sender: str, message: NotLeading, now_s: float
 ) -> list[Effect]:
-    """Stand for election soon, where nobody is left that may lead."""
+    """Schedule an election once no possible leader is left."""
     if (
         message.start_id != node.start_id
         or sender not in node.possible_leaders
@@ -149,10 +150,10 @@
 
 
 def start_pre_vote(node: Node, now_s: float) -> list[Effect]:
-    """Ask whether an election could be won, without a new term.
+    """Ask whether an election could be won, without starting a new term.
 
-    That harms nobody, so it is asked again soon, and then less and less
-    often: some may have heard the leader a moment later than this one.
+    Retried soon, as it disturbs no leader and some voters may have had
+    contact with the leader a little later; the interval then doubles.
     """
     span_s = node.timing.heartbeat_s * 2**node.pre_vote_attempts
     span_s = min(span_s, node.timing.election_s) * (1 + node.rng.random())
@@ -185,7 +186,7 @@
 def on_timeout_now(
     node: Node, sender: str, message: TimeoutNow, now_s: float
 ) -> list[Effect]:
-    """Stand for election, since the leader hands over."""
+    """Start an election, as the leader transfers its leadership."""
     if message.term != node.term or node.role != FOLLOWER:
         return []
     if node.node_id not in node.config.voters:
@@ -201,10 +202,10 @@
 def _has_priority(
     node: Node, sender: str, message: RequestVote, now_s: float
 ) -> bool:
-    """Return whether this voter asks for pre-votes too, and goes first.
+    """Return whether this voter requests pre-votes too, with priority.
 
-    Of two that ask at the same moment both would be granted, then both
-    elections fail, and the next ones come an election time later.
+    If two candidates were both granted pre-votes, both elections would fail,
+    and the next ones follow an election time later.
     """
     if (
         node.role != PRE_CANDIDATE
@@ -218,7 +219,7 @@
 
 
 def _defer_election(node: Node, now_s: float) -> None:
-    """Let another voter, which was granted a pre-vote, be elected."""
+    """Wait for the election of a voter that was granted a pre-vote."""
     if node.role == PRE_CANDIDATE:
         node.role = FOLLOWER
     node.election_at_s = max(node.election_at_s, now_s + ELECTION_DEFER_S)
@@ -227,10 +228,10 @@
 def on_request_vote(
     node: Node, sender: str, message: RequestVote, now_s: float
 ) -> list[Effect]:
-    """Give or refuse a vote.
+    """Grant or refuse a vote.
 
-    While a leader was heard of late the request is ignored, term and all:
-    that is what the leader's lease rests on.
+    The request and its term are ignored while there was recent contact with
+    a leader: the leader's lease depends on that.
     """
     if not message.leadership_transfer and not _no_active_lease(node, now_s):
         return []
