--- a/mountridge/consensus/elections.py
+++ b/mountridge/consensus/elections.py
@@ -15,7 +15,7 @@
 leader is a voter of the snapshot's configuration or of a later one, or its
 removal is committed and it has stepped down. If the log ends in an earlier
 term than the saved one, the leader is unknown and only the timeout counts.
-Leaders of earlier terms hold no lease: a successor was elected after them.
+Leaders of earlier terms hold no lease, or no successor had been elected.
 
 A box that has lost its disk has a new identity and replies for its former
 one: the former process has ended, or its address would still be in use.
