--- a/mountridge/consensus/consensus.py
+++ b/mountridge/consensus/consensus.py
@@ -52,7 +52,7 @@
 
 def _tick(node: Node, event: Tick, now_s: float) -> list[Effect]:
     if node.role == LEADER:
-        return replication.lead(node, now_s)
+        return replication.leader_tick(node, now_s)
     if now_s >= node.election_at_s:
         return elections.start_pre_vote(node, now_s)
     return elections.query_leaders(node, now_s)
@@ -60,7 +60,7 @@
 
 def _propose(node: Node, event: Propose, now_s: float) -> list[Effect]:
     _check_leads(node)
-    fresh = [
+    new_entries = [
         entries.Entry(
             node.term,
             node.log.last_index + 1 + number,
@@ -69,7 +69,7 @@
         )
         for number, payload in enumerate(event.payloads)
     ]
-    return replication.append_own(node, fresh, now_s)
+    return replication.append_as_leader(node, new_entries, now_s)
 
 
 def _check_leads(node: Node) -> None:
@@ -82,9 +82,9 @@
 def _read(node: Node, event: Read, now_s: float) -> list[Effect]:
     _check_leads(node)
     node.pending_reads.append((event.read_id, now_s))
-    return replication.beat(node, now_s) + replication.answer_reads(
+    return replication.send_heartbeats(
         node, now_s
-    )
+    ) + replication.confirm_reads(node, now_s)
 
 
 def _change(node: Node, event: ChangeConfig, now_s: float) -> list[Effect]:
@@ -107,7 +107,7 @@
         entries.CONFIG,
         event.config.pack(),
     )
-    return replication.append_own(node, [entry], now_s)
+    return replication.append_as_leader(node, [entry], now_s)
 
 
 def _transfer_leadership(
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -12,22 +12,22 @@
 from mountridge import errors
 
 __all__ = [
-    'adopt_term', 'answer_reads', 'append_own', 'beat', 'become_leader',
-    'best_transfer_target', 'check_caught_up', 'continue_transfer', 'lead',
+    'adopt_term', 'append_as_leader', 'become_leader', 'best_transfer_target',
+    'check_caught_up', 'confirm_reads', 'continue_transfer', 'leader_tick',
     'lease_valid', 'on_append_entries', 'on_append_entries_reply',
     'on_install_snapshot', 'on_install_snapshot_reply', 'on_synced',
-    'quorum_time',
+    'quorum_ack_time', 'send_heartbeats',
 ]  # fmt: skip
 
 #: Bytes of entries in one message, and messages on their way to one peer.
 MAX_APPEND_BYTES = 256 << 10
 MAX_INFLIGHT = 8
-INSTALL_BYTES = 256 << 10
+SNAPSHOT_CHUNK_BYTES = 256 << 10
 #: Part of the election time for which a leader trusts a quorum's answers;
 #: the rest allows for clocks that run at different speeds.
-LEASE_PART = 0.9
+LEASE_FRACTION = 0.9
 #: Entries that a learner may be behind when it becomes a voter.
-CAUGHT_UP = 100
+MAX_LEARNER_LAG = 100
 
 
 # Roles.
@@ -62,16 +62,16 @@
     node.peers = {}
     node.leader_since_s = now_s
     node.term_start_index = node.log.last_index + 1
-    _follow_config(node)
+    _update_config(node)
     name = node.node_id.encode()
     entry = entries.Entry(
         node.term, node.term_start_index, entries.EMPTY, name
     )
     role = RoleChanged(LEADER, node.term, node.node_id)
-    return [role] + append_own(node, [entry], now_s)
+    return [role] + append_as_leader(node, [entry], now_s)
 
 
-def _follow_config(node: Node) -> None:
+def _update_config(node: Node) -> None:
     """Use the newest configuration in the log, committed or not."""
     node.config_index, node.config = node.log.config()
     if node.role != LEADER:
@@ -88,46 +88,46 @@
 # Leading.
 
 
-def append_own(
-    node: Node, fresh: list[entries.Entry], now_s: float
+def append_as_leader(
+    node: Node, new_entries: list[entries.Entry], now_s: float
 ) -> list[Effect]:
     """Append a leader's own entries and send them out.
 
     Followers may have them before they are synced here: the leader counts
     itself only once they are.
     """
-    node.log.append(fresh)
-    if any(entry.kind == entries.CONFIG for entry in fresh):
-        _follow_config(node)
+    node.log.append(new_entries)
+    if any(entry.kind == entries.CONFIG for entry in new_entries):
+        _update_config(node)
     sends = [
         effect
         for peer_id in node.peers
-        for effect in _feed(node, peer_id, now_s)
+        for effect in _replicate_to(node, peer_id, now_s)
     ]
-    return [*sends, SaveEntries(fresh)]
+    return [*sends, SaveEntries(new_entries)]
 
 
-def _feed(
-    node: Node, peer_id: str, now_s: float, beat: bool = False
+def _replicate_to(
+    node: Node, peer_id: str, now_s: float, heartbeat: bool = False
 ) -> list[Effect]:
     """Send a peer what it lacks, or an empty message as a heartbeat."""
     peer = node.peers[peer_id]
     if peer.next_index <= node.log.base_index:
-        return _feed_snapshot(node, peer_id, now_s, beat)
+        return _send_snapshot_chunk(node, peer_id, now_s, heartbeat)
     effects: list[Effect] = []
     while (
         peer.next_index <= node.log.last_index and peer.inflight < MAX_INFLIGHT
     ):
-        part = _part(node, peer.next_index)
-        effects.append(_append(node, peer_id, part, now_s))
-        peer.next_index += len(part)
+        batch = _next_batch(node, peer.next_index)
+        effects.append(_make_append(node, peer_id, batch, now_s))
+        peer.next_index += len(batch)
         peer.inflight += 1
-    if beat and not effects:
-        effects.append(_append(node, peer_id, [], now_s))
+    if heartbeat and not effects:
+        effects.append(_make_append(node, peer_id, [], now_s))
     return effects
 
 
-def _part(node: Node, first: int) -> list[entries.Entry]:
+def _next_batch(node: Node, first: int) -> list[entries.Entry]:
     size = 0
     last = first - 1
     for entry in node.log.between(first, node.log.last_index):
@@ -138,30 +138,30 @@
     return node.log.between(first, last)
 
 
-def _append(
-    node: Node, peer_id: str, part: list[entries.Entry], now_s: float
+def _make_append(
+    node: Node, peer_id: str, batch: list[entries.Entry], now_s: float
 ) -> Send:
     prev = node.peers[peer_id].next_index - 1
     message = AppendEntries(
         node.term,
         prev,
         node.log.term_at(prev),
-        part,
+        batch,
         node.commit_index,
         now_s,
     )
     return Send(peer_id, message, before_sync=True)
 
 
-def _feed_snapshot(
-    node: Node, peer_id: str, now_s: float, beat: bool
+def _send_snapshot_chunk(
+    node: Node, peer_id: str, now_s: float, heartbeat: bool
 ) -> list[Effect]:
     """Send the next part of a snapshot; it is sent again on a beat."""
     peer = node.peers[peer_id]
     snapshot = node.snapshot
     if snapshot is None:
         return []
-    if peer.install_offset >= 0 and not beat:
+    if peer.install_offset >= 0 and not heartbeat:
         return []
     offset = max(0, peer.install_offset)
     peer.install_offset = offset
@@ -172,16 +172,16 @@
         snapshot.config,
         offset,
         len(snapshot.data),
-        snapshot.data[offset : offset + INSTALL_BYTES],
+        snapshot.data[offset : offset + SNAPSHOT_CHUNK_BYTES],
         now_s,
     )
     return [Send(peer_id, message, before_sync=True)]
 
 
-def lead(node: Node, now_s: float) -> list[Effect]:
+def leader_tick(node: Node, now_s: float) -> list[Effect]:
     """Do what a leader does as time passes."""
-    heard_s = max(node.leader_since_s, quorum_time(node, now_s))
-    if now_s - heard_s > node.timing.election_s:
+    contact_s = max(node.leader_since_s, quorum_ack_time(node, now_s))
+    if now_s - contact_s > node.timing.election_s:
         return _step_down(node)
     if node.transfer_target and now_s >= node.transfer_deadline_s:
         # The voter may still win the election; so this leader's lease can't
@@ -189,10 +189,10 @@
         return _step_down(node)
     if now_s < node.next_heartbeat_s:
         return []
-    return beat(node, now_s)
+    return send_heartbeats(node, now_s)
 
 
-def beat(node: Node, now_s: float) -> list[Effect]:
+def send_heartbeats(node: Node, now_s: float) -> list[Effect]:
     """Send heartbeats, and more to peers whose answers were lost.
 
     An empty message that does not fit on is answered with a hint, from
@@ -203,11 +203,11 @@
     for peer_id, peer in node.peers.items():
         if now_s - peer.last_reply_s > 3 * node.timing.heartbeat_s:
             peer.inflight = 0
-        effects += _feed(node, peer_id, now_s, beat=True)
+        effects += _replicate_to(node, peer_id, now_s, heartbeat=True)
     return effects
 
 
-def quorum_time(node: Node, now_s: float) -> float:
+def quorum_ack_time(node: Node, now_s: float) -> float:
     """Return a time at or after which a quorum still followed."""
     times = [
         now_s if voter == node.node_id else node.peers[voter].acked_sent_s
@@ -225,29 +225,33 @@
         return False
     if node.commit_index < node.term_start_index:
         return False
-    span_s = node.timing.election_s * LEASE_PART
-    return now_s < quorum_time(node, now_s) + span_s
+    span_s = node.timing.election_s * LEASE_FRACTION
+    return now_s < quorum_ack_time(node, now_s) + span_s
 
 
-def answer_reads(node: Node, now_s: float) -> list[Effect]:
+def confirm_reads(node: Node, now_s: float) -> list[Effect]:
     """Confirm reads that a quorum has answered since they were asked."""
     if not node.pending_reads or node.commit_index < node.term_start_index:
         return []
-    confirmed_s = quorum_time(node, now_s)
-    ready = [r for r, asked_s in node.pending_reads if asked_s <= confirmed_s]
+    confirmed_s = quorum_ack_time(node, now_s)
+    ready = [
+        r
+        for r, requested_s in node.pending_reads
+        if requested_s <= confirmed_s
+    ]
     node.pending_reads = [r for r in node.pending_reads if r[1] > confirmed_s]
     return [ReadReady(read_id, True) for read_id in ready]
 
 
 def best_transfer_target(node: Node, now_s: float) -> str:
     """Return the voter that is furthest and was heard of late, or ''."""
-    fresh = [
+    candidates = [
         (peer.match_index, peer_id)
         for peer_id, peer in node.peers.items()
         if peer_id in node.config.voters
         and now_s - peer.acked_sent_s < node.timing.election_s
     ]
-    return max(fresh)[1] if fresh else ''
+    return max(candidates)[1] if candidates else ''
 
 
 def check_caught_up(node: Node, peer_id: str, now_s: float) -> None:
@@ -261,7 +265,7 @@
     if now_s - peer.acked_sent_s > node.timing.election_s:
         raise errors.RefusedChange(f'{peer_id} was not heard of late')
     behind = node.log.last_index - peer.match_index
-    if behind > CAUGHT_UP:
+    if behind > MAX_LEARNER_LAG:
         raise errors.RefusedChange(f'{peer_id} is {behind} entries behind')
 
 
@@ -272,7 +276,7 @@
         return []
     if peer.match_index == node.log.last_index:
         return [Send(node.transfer_target, TimeoutNow(node.term))]
-    return _feed(node, node.transfer_target, now_s, beat=True)
+    return _replicate_to(node, node.transfer_target, now_s, heartbeat=True)
 
 
 # Commitment.
@@ -283,10 +287,10 @@
     if node.log.term_at(event.index) != event.term:
         return []
     node.synced_index = event.index
-    return _commit(node, now_s) if node.role == LEADER else []
+    return _commit_replicated(node, now_s) if node.role == LEADER else []
 
 
-def _commit(node: Node, now_s: float) -> list[Effect]:
+def _commit_replicated(node: Node, now_s: float) -> list[Effect]:
     """Commit what a quorum holds durably, in entries of this term."""
     matches = [
         (
@@ -300,22 +304,22 @@
     index = min(matches[node.quorum() - 1], node.log.last_index)
     if index <= node.commit_index or node.log.term_at(index) != node.term:
         return []
-    effects = _advance(node, index) + answer_reads(node, now_s)
+    effects = _set_commit_index(node, index) + confirm_reads(node, now_s)
     if (
         node.commit_index >= node.config_index
         and node.node_id not in node.config.voters
     ):
-        effects += beat(node, now_s) + _step_down(node)
+        effects += send_heartbeats(node, now_s) + _step_down(node)
     return effects
 
 
-def _advance(node: Node, index: int) -> list[Effect]:
+def _set_commit_index(node: Node, index: int) -> list[Effect]:
     ready = node.log.between(node.commit_index + 1, index)
     node.commit_index = index
     return [Apply(ready)] if ready else []
 
 
-def _heard_from(
+def _record_reply(
     node: Node,
     sender: str,
     message: AppendEntriesReply | InstallSnapshotReply,
@@ -336,7 +340,7 @@
     """Take a follower's answer."""
     if message.term > node.term:
         return adopt_term(node, message.term, now_s)
-    peer = _heard_from(node, sender, message, now_s)
+    peer = _record_reply(node, sender, message, now_s)
     if peer is None:
         return []
     peer.inflight = max(0, peer.inflight - 1)
@@ -347,19 +351,21 @@
     elif message.match_index > peer.match_index:
         peer.match_index = message.match_index
         peer.next_index = max(peer.next_index, peer.match_index + 1)
-    effects = _commit(node, now_s)
+    effects = _commit_replicated(node, now_s)
     if node.role != LEADER:
         return effects
-    effects += answer_reads(node, now_s)
+    effects += confirm_reads(node, now_s)
     if node.transfer_target == sender:
         return effects + continue_transfer(node, now_s)
-    return effects + _feed(node, sender, now_s)
+    return effects + _replicate_to(node, sender, now_s)
 
 
 # Following.
 
 
-def _follow(node: Node, sender: str, term: int, now_s: float) -> list[Effect]:
+def _follow_leader(
+    node: Node, sender: str, term: int, now_s: float
+) -> list[Effect]:
     """Take ``sender`` as the leader of ``term``."""
     effects: list[Effect] = []
     if term > node.term:
@@ -370,11 +376,11 @@
     if node.leader_id != sender:
         node.leader_id = sender
         effects.append(RoleChanged(FOLLOWER, term, sender))
-    _await_leader(node, now_s)
+    _restart_leader_timeout(node, now_s)
     return effects
 
 
-def _await_leader(node: Node, now_s: float) -> None:
+def _restart_leader_timeout(node: Node, now_s: float) -> None:
     """Wait for the leader that was just heard; after it, in turn.
 
     All voters hear a leader at nearly the same moment, so where it falls
@@ -385,8 +391,10 @@
     """
     node.pre_vote_attempts = 0
     order = [v for v in sorted(node.config.voters) if v != node.leader_id]
-    place = order.index(node.node_id) if node.node_id in order else len(order)
-    wait_s = ELECTION_STAGGER_S * (1 + place + node.rng.random() / 4)
+    position = (
+        order.index(node.node_id) if node.node_id in order else len(order)
+    )
+    wait_s = ELECTION_STAGGER_S * (1 + position + node.rng.random() / 4)
     node.election_at_s = now_s + node.timing.election_s + wait_s
 
 
@@ -397,17 +405,17 @@
     if message.term < node.term:
         answer = AppendEntriesReply(node.term, False, 0, message.sent_s)
         return [Send(sender, answer)]
-    effects = _follow(node, sender, message.term, now_s)
-    ok, match = _fits(node, message)
+    effects = _follow_leader(node, sender, message.term, now_s)
+    ok, match = _match_log(node, message)
     if ok:
-        effects += _take(node, message.entries)
+        effects += _append_missing(node, message.entries)
         match = message.prev_index + len(message.entries)
         effects += _commit_up_to(node, min(message.leader_commit, match))
     answer = AppendEntriesReply(node.term, ok, match, message.sent_s)
     return effects + [Send(sender, answer)]
 
 
-def _fits(node: Node, message: AppendEntries) -> tuple[bool, int]:
+def _match_log(node: Node, message: AppendEntries) -> tuple[bool, int]:
     """Return whether entries follow on, else where they might."""
     log = node.log
     prev = message.prev_index
@@ -425,20 +433,22 @@
     return False, hint
 
 
-def _take(node: Node, fresh: list[entries.Entry]) -> list[Effect]:
+def _append_missing(
+    node: Node, new_entries: list[entries.Entry]
+) -> list[Effect]:
     """Append what is not there yet; only a real conflict cuts the log."""
-    for number, entry in enumerate(fresh):
+    for number, entry in enumerate(new_entries):
         if node.log.term_at(entry.index) != entry.term:
-            new = fresh[number:]
+            new = new_entries[number:]
             node.log.append(new)
             node.synced_index = min(node.synced_index, entry.index - 1)
-            _follow_config(node)
+            _update_config(node)
             return [SaveEntries(new)]
     return []
 
 
 def _commit_up_to(node: Node, index: int) -> list[Effect]:
-    return _advance(node, index) if index > node.commit_index else []
+    return _set_commit_index(node, index) if index > node.commit_index else []
 
 
 def on_install_snapshot(
@@ -448,17 +458,17 @@
     if message.term < node.term:
         answer = InstallSnapshotReply(node.term, 0, 0, False, message.sent_s)
         return [Send(sender, answer)]
-    effects = _follow(node, sender, message.term, now_s)
-    offset, done = _gather(node, message)
+    effects = _follow_leader(node, sender, message.term, now_s)
+    offset, done = _collect_chunk(node, message)
     if done and message.index > node.commit_index:
-        effects += _replace_log(node, message)
+        effects += _install_snapshot(node, message)
     answer = InstallSnapshotReply(
         node.term, message.index, offset, done, message.sent_s
     )
     return effects + [Send(sender, answer)]
 
 
-def _gather(node: Node, message: InstallSnapshot) -> tuple[int, bool]:
+def _collect_chunk(node: Node, message: InstallSnapshot) -> tuple[int, bool]:
     if message.index <= node.commit_index:
         return message.size, True
     key = (message.index, message.index_term)
@@ -470,7 +480,7 @@
     return len(data), len(data) == message.size
 
 
-def _replace_log(node: Node, message: InstallSnapshot) -> list[Effect]:
+def _install_snapshot(node: Node, message: InstallSnapshot) -> list[Effect]:
     snapshot = Snapshot(
         message.index,
         message.index_term,
@@ -485,7 +495,7 @@
         node.log = entries.Log(snapshot.index, snapshot.term, snapshot.config)
     node.commit_index = snapshot.index
     node.synced_index = node.log.last_index
-    _follow_config(node)
+    _update_config(node)
     return [SaveSnapshot(snapshot, from_leader=True)]
 
 
@@ -495,23 +505,27 @@
     """Take the answer to a part of a snapshot and send the next one."""
     if message.term > node.term:
         return adopt_term(node, message.term, now_s)
-    peer = _heard_from(node, sender, message, now_s)
+    peer = _record_reply(node, sender, message, now_s)
     if peer is None:
         return []
     if message.done:
         peer.match_index = max(peer.match_index, message.index)
         peer.next_index = peer.match_index + 1
         peer.install_offset = -1
-        return _commit(node, now_s) + _feed_still(node, sender, now_s)
+        return _commit_replicated(node, now_s) + _replicate_if_leader(
+            node, sender, now_s
+        )
     if not node.snapshot or message.index != node.snapshot.index:
         # A newer snapshot replaced the one that was under way.
         peer.install_offset = 0
     else:
         peer.install_offset = message.offset
-    return _feed(node, sender, now_s, beat=True)
+    return _replicate_to(node, sender, now_s, heartbeat=True)
 
 
-def _feed_still(node: Node, peer_id: str, now_s: float) -> list[Effect]:
+def _replicate_if_leader(
+    node: Node, peer_id: str, now_s: float
+) -> list[Effect]:
     if node.role != LEADER:
         return []
-    return _feed(node, peer_id, now_s)
+    return _replicate_to(node, peer_id, now_s)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -112,9 +112,9 @@
     ),
     Mutant(
         'a follower answers before its sync', 'replication',
-        'return effects + [Send(sender, answer)]\n\n\ndef _fits',
+        'return effects + [Send(sender, answer)]\n\n\ndef _match_log',
         'return effects + [Send(sender, answer, before_sync=True)]\n\n\n'
-        'def _fits',
+        'def _match_log',
         'consensus',
     ),
     Mutant(
@@ -124,21 +124,21 @@
     ),
     Mutant(
         'the lease does not end', 'replication',
-        'return now_s < quorum_time(node, now_s) + span_s', 'return True',
+        'return now_s < quorum_ack_time(node, now_s) + span_s', 'return True',
         'consensus',
     ),
     Mutant(
         'reads that no quorum confirms', 'replication',
-        'if asked_s <= confirmed_s]', ']', 'consensus',
+        '        if requested_s <= confirmed_s\n', '', 'consensus',
     ),
     Mutant(
         'check-quorum before the first answers', 'replication',
-        'heard_s = max(node.leader_since_s, quorum_time(node, now_s))',
-        'heard_s = quorum_time(node, now_s)', 'consensus',
+        'contact_s = max(node.leader_since_s, quorum_ack_time(node, now_s))',
+        'contact_s = quorum_ack_time(node, now_s)', 'consensus',
     ),
     Mutant(
         'a voter with no learner stage', 'replication',
-        'if behind > CAUGHT_UP:', 'if False:', 'consensus',
+        'if behind > MAX_LEARNER_LAG:', 'if False:', 'consensus',
     ),
     Mutant(
         'two voters changed at once', 'consensus',
@@ -1034,7 +1034,7 @@
     ),
     Mutant(
         'losses: voters stand at random times', 'replication',
-        'wait_s = ELECTION_STAGGER_S * (1 + place + node.rng.random() / 4)',
+        'wait_s = ELECTION_STAGGER_S * (1 + position + node.rng.random() / 4)',
         'wait_s = node.timing.election_s * node.rng.random()', 'losses',
         'the next leader is there soon',
     ),
