--- a/features/consensus.feature
+++ b/features/consensus.feature
@@ -120,8 +120,8 @@
     Examples:
       | change                          | reason                   |
       | two voters at once              | one voter at a time      |
-      | a voter that was never a learner| is no learner            |
-      | a learner that has heard nothing| was not heard of late    |
+      | a voter that was never a learner| is not a learner         |
+      | a learner that has heard nothing| has not replied recently |
       | a learner far behind            | entries behind           |
       | a change during a change        | not yet committed        |
 
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Replication of the consensus core: leading, following, catching up."""
+"""Replication of the consensus core: leader, followers and snapshots."""
 
 from mountridge.consensus.consensustypes import (
     AppendEntries, AppendEntriesReply, Apply, Effect, ELECTION_STAGGER_S,
@@ -19,14 +19,15 @@
     'quorum_ack_time', 'send_heartbeats',
 ]  # fmt: skip
 
-#: Bytes of entries in one message, and messages on their way to one peer.
+#: Limits of the entries in one message, and of the unacknowledged messages
+#: to one peer.
 MAX_APPEND_BYTES = 256 << 10
 MAX_INFLIGHT = 8
 SNAPSHOT_CHUNK_BYTES = 256 << 10
-#: Part of the election time for which a leader trusts a quorum's answers;
-#: the rest allows for clocks that run at different speeds.
+#: Length of the lease, as a fraction of the election time; the rest allows
+#: for clock drift between controllers.
 LEASE_FRACTION = 0.9
-#: Entries that a learner may be behind when it becomes a voter.
+#: Most entries by which a learner may be behind when it becomes a voter.
 MAX_LEARNER_LAG = 100
 
 
@@ -47,14 +48,14 @@
 
 
 def adopt_term(node: Node, term: int, now_s: float) -> list[Effect]:
-    """Follow a later term, with no vote in it yet."""
+    """Become a follower in a later term, with no vote in it yet."""
     node.term = term
     node.voted_for = ''
     return [SaveVote(term, '')] + _step_down(node)
 
 
 def become_leader(node: Node, now_s: float) -> list[Effect]:
-    """Lead: append an empty entry, by which earlier ones get committed."""
+    """Append an empty entry, whose commit commits those of earlier terms."""
     node.role = LEADER
     node.leader_id = node.node_id
     node.transfer_target = ''
@@ -91,10 +92,10 @@
 def append_as_leader(
     node: Node, new_entries: list[entries.Entry], now_s: float
 ) -> list[Effect]:
-    """Append a leader's own entries and send them out.
+    """Append the leader's new entries and send them to all peers.
 
-    Followers may have them before they are synced here: the leader counts
-    itself only once they are.
+    They are sent before the local sync: the leader counts its own copy only
+    once it is synced.
     """
     node.log.append(new_entries)
     if any(entry.kind == entries.CONFIG for entry in new_entries):
@@ -110,7 +111,7 @@
 def _replicate_to(
     node: Node, peer_id: str, now_s: float, heartbeat: bool = False
 ) -> list[Effect]:
-    """Send a peer what it lacks, or an empty message as a heartbeat."""
+    """Send a peer its missing entries, or an empty message as heartbeat."""
     peer = node.peers[peer_id]
     if peer.next_index <= node.log.base_index:
         return _send_snapshot_chunk(node, peer_id, now_s, heartbeat)
@@ -156,7 +157,7 @@
 def _send_snapshot_chunk(
     node: Node, peer_id: str, now_s: float, heartbeat: bool
 ) -> list[Effect]:
-    """Send the next part of a snapshot; it is sent again on a beat."""
+    """Send the next chunk of a snapshot; a heartbeat sends it again."""
     peer = node.peers[peer_id]
     snapshot = node.snapshot
     if snapshot is None:
@@ -179,13 +180,13 @@
 
 
 def leader_tick(node: Node, now_s: float) -> list[Effect]:
-    """Do what a leader does as time passes."""
+    """Check the leader's quorum and deadlines, and send due heartbeats."""
     contact_s = max(node.leader_since_s, quorum_ack_time(node, now_s))
     if now_s - contact_s > node.timing.election_s:
         return _step_down(node)
     if node.transfer_target and now_s >= node.transfer_deadline_s:
-        # The voter may still win the election; so this leader's lease can't
-        # be taken up again.
+        # The target may still win its election, so the lease must not be
+        # resumed.
         return _step_down(node)
     if now_s < node.next_heartbeat_s:
         return []
@@ -193,10 +194,10 @@
 
 
 def send_heartbeats(node: Node, now_s: float) -> list[Effect]:
-    """Send heartbeats, and more to peers whose answers were lost.
+    """Send heartbeats, and entries to peers whose replies were lost.
 
-    An empty message that does not fit on is answered with a hint, from
-    which the peer is fed again.
+    The reply to an empty message that does not match the peer's log has the
+    index from which replication goes on.
     """
     node.next_heartbeat_s = now_s + node.timing.heartbeat_s
     effects: list[Effect] = []
@@ -208,7 +209,7 @@
 
 
 def quorum_ack_time(node: Node, now_s: float) -> float:
-    """Return a time at or after which a quorum still followed."""
+    """Return a time at which a quorum still followed this leader."""
     times = [
         now_s if voter == node.node_id else node.peers[voter].acked_sent_s
         for voter in node.config.voters
@@ -220,7 +221,7 @@
 
 
 def lease_valid(node: Node, now_s: float) -> bool:
-    """Return whether no other leader can have been elected by now."""
+    """Return whether no other leader can have been elected yet."""
     if node.role != LEADER or node.transfer_target:
         return False
     if node.commit_index < node.term_start_index:
@@ -230,7 +231,7 @@
 
 
 def confirm_reads(node: Node, now_s: float) -> list[Effect]:
-    """Confirm reads that a quorum has answered since they were asked."""
+    """Confirm reads requested before the last contact with a quorum."""
     if not node.pending_reads or node.commit_index < node.term_start_index:
         return []
     confirmed_s = quorum_ack_time(node, now_s)
@@ -244,7 +245,7 @@
 
 
 def best_transfer_target(node: Node, now_s: float) -> str:
-    """Return the voter that is furthest and was heard of late, or ''."""
+    """Return the responsive voter with the most entries, or ''."""
     candidates = [
         (peer.match_index, peer_id)
         for peer_id, peer in node.peers.items()
@@ -255,22 +256,22 @@
 
 
 def check_caught_up(node: Node, peer_id: str, now_s: float) -> None:
-    """Refuse to make a voter of a box that lacks much of the log.
+    """Check that a learner may become a voter.
 
     :raises RefusedChange: with the reason for the operator.
     """
     peer = node.peers.get(peer_id)
     if peer is None:
-        raise errors.RefusedChange(f'{peer_id} is no learner; add it first')
+        raise errors.RefusedChange(f'{peer_id} is not a learner; add it first')
     if now_s - peer.acked_sent_s > node.timing.election_s:
-        raise errors.RefusedChange(f'{peer_id} was not heard of late')
+        raise errors.RefusedChange(f'{peer_id} has not replied recently')
     behind = node.log.last_index - peer.match_index
     if behind > MAX_LEARNER_LAG:
         raise errors.RefusedChange(f'{peer_id} is {behind} entries behind')
 
 
 def continue_transfer(node: Node, now_s: float) -> list[Effect]:
-    """Let the chosen voter stand for election once it has all entries."""
+    """Tell the target to start an election once it has all entries."""
     peer = node.peers.get(node.transfer_target)
     if peer is None:
         return []
@@ -283,7 +284,7 @@
 
 
 def on_synced(node: Node, event: Synced, now_s: float) -> list[Effect]:
-    """Count this controller's own copy of the log as durable."""
+    """Count the local copy of the log as durable."""
     if node.log.term_at(event.index) != event.term:
         return []
     node.synced_index = event.index
@@ -291,7 +292,7 @@
 
 
 def _commit_replicated(node: Node, now_s: float) -> list[Effect]:
-    """Commit what a quorum holds durably, in entries of this term."""
+    """Commit up to the newest entry of this term on a durable quorum."""
     matches = [
         (
             node.synced_index
@@ -325,7 +326,7 @@
     message: AppendEntriesReply | InstallSnapshotReply,
     now_s: float,
 ) -> Peer | None:
-    """Return the peer that answers its leader, None for any other."""
+    """Record a reply; return its peer, None if it is not for this term."""
     peer = node.peers.get(sender)
     if node.role != LEADER or message.term != node.term or peer is None:
         return None
@@ -337,7 +338,7 @@
 def on_append_entries_reply(
     node: Node, sender: str, message: AppendEntriesReply, now_s: float
 ) -> list[Effect]:
-    """Take a follower's answer."""
+    """Update a follower's progress and send it more entries."""
     if message.term > node.term:
         return adopt_term(node, message.term, now_s)
     peer = _record_reply(node, sender, message, now_s)
@@ -366,7 +367,7 @@
 def _follow_leader(
     node: Node, sender: str, term: int, now_s: float
 ) -> list[Effect]:
-    """Take ``sender`` as the leader of ``term``."""
+    """Record ``sender`` as the leader of ``term``."""
     effects: list[Effect] = []
     if term > node.term:
         effects = adopt_term(node, term, now_s)
@@ -381,13 +382,12 @@
 
 
 def _restart_leader_timeout(node: Node, now_s: float) -> None:
-    """Wait for the leader that was just heard; after it, in turn.
+    """Set the election timeout after contact with a leader.
 
-    All voters hear a leader at nearly the same moment, so where it falls
-    silent the first of them stands once all have missed it for the election
-    time, and the next ones a little later, each where those before it are
-    lost too. At random times within as long again, 99 in 100 elections of
-    two took up to 0.95 s, and some collided.
+    All voters lose contact with a failed leader at about the same time, so
+    their timeouts are staggered by id, not random: the first one starts an
+    election after the election time, each next one only if those before it
+    have failed too. Random timeouts take longer and collide more often.
     """
     node.pre_vote_attempts = 0
     order = [v for v in sorted(node.config.voters) if v != node.leader_id]
@@ -401,7 +401,7 @@
 def on_append_entries(
     node: Node, sender: str, message: AppendEntries, now_s: float
 ) -> list[Effect]:
-    """Take a leader's entries where they fit on."""
+    """Append a leader's entries if they match the log."""
     if message.term < node.term:
         answer = AppendEntriesReply(node.term, False, 0, message.sent_s)
         return [Send(sender, answer)]
@@ -416,11 +416,14 @@
 
 
 def _match_log(node: Node, message: AppendEntries) -> tuple[bool, int]:
-    """Return whether entries follow on, else where they might."""
+    """Return whether the previous entry matches, and the index that does.
+
+    Without a match the index is only a hint.
+    """
     log = node.log
     prev = message.prev_index
     if prev < log.base_index:
-        # Part of a snapshot here; what is committed is known to agree.
+        # In the snapshot; committed entries are known to match.
         return False, node.commit_index
     term = log.term_at(prev)
     if term == message.prev_term:
@@ -436,7 +439,7 @@
 def _append_missing(
     node: Node, new_entries: list[entries.Entry]
 ) -> list[Effect]:
-    """Append what is not there yet; only a real conflict cuts the log."""
+    """Append missing entries; truncate the log only at a conflict."""
     for number, entry in enumerate(new_entries):
         if node.log.term_at(entry.index) != entry.term:
             new = new_entries[number:]
@@ -454,7 +457,7 @@
 def on_install_snapshot(
     node: Node, sender: str, message: InstallSnapshot, now_s: float
 ) -> list[Effect]:
-    """Gather the parts of a snapshot and put it in place when whole."""
+    """Collect the chunks of a snapshot and install it once complete."""
     if message.term < node.term:
         answer = InstallSnapshotReply(node.term, 0, 0, False, message.sent_s)
         return [Send(sender, answer)]
@@ -502,7 +505,7 @@
 def on_install_snapshot_reply(
     node: Node, sender: str, message: InstallSnapshotReply, now_s: float
 ) -> list[Effect]:
-    """Take the answer to a part of a snapshot and send the next one."""
+    """Record the reply to a chunk and send the next one."""
     if message.term > node.term:
         return adopt_term(node, message.term, now_s)
     peer = _record_reply(node, sender, message, now_s)
@@ -516,7 +519,7 @@
             node, sender, now_s
         )
     if not node.snapshot or message.index != node.snapshot.index:
-        # A newer snapshot replaced the one that was under way.
+        # A newer snapshot has replaced the one being sent.
         peer.install_offset = 0
     else:
         peer.install_offset = message.offset
