--- a/mountridge/consensus/consensus.py
+++ b/mountridge/consensus/consensus.py
@@ -1,13 +1,13 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The consensus core: a replicated log with one leader a term.
+"""The consensus core: a replicated log with one leader per term.
 
 Follows Raft (Ongaro and Ousterhout, USENIX ATC 2014) with pre-vote,
 check-quorum, a leader lease, learners, changes of one voter at a time, and
-hand-over of leadership. No I/O: `step` takes an event and the present time
-and returns effects, which the caller carries out in their order. Whatever
-stands after a `SaveVote`, `SaveEntries` or `SaveSnapshot` must not be done
-before those are synced, but for a `Send` marked ``before_sync``.
+leadership transfer. No I/O: `step` takes an event and the current time and
+returns effects, which the caller executes in order. Effects that follow a
+`SaveVote`, `SaveEntries` or `SaveSnapshot` must not be executed before that
+is synced, except a `Send` with ``before_sync``.
 """
 
 import random
@@ -44,7 +44,7 @@
     rng: random.Random,
     now_s: float,
 ) -> Node:
-    """Return a follower that starts from what its storage holds."""
+    """Return a follower with the state that its storage holds."""
     node = Node(node_id, term, voted_for, log, timing, rng)
     elections.reset_after_start(node, now_s)
     return node
@@ -59,7 +59,7 @@
 
 
 def _propose(node: Node, event: Propose, now_s: float) -> list[Effect]:
-    _check_leads(node)
+    _check_leader(node)
     new_entries = [
         entries.Entry(
             node.term,
@@ -72,23 +72,25 @@
     return replication.append_as_leader(node, new_entries, now_s)
 
 
-def _check_leads(node: Node) -> None:
+def _check_leader(node: Node) -> None:
     if node.role != LEADER or node.transfer_target:
-        problem = errors.NotLeader(f'{node.node_id} does not lead')
+        problem = errors.NotLeader(f'{node.node_id} is not the leader')
         problem.leader = node.leader_id
         raise problem
 
 
 def _read(node: Node, event: Read, now_s: float) -> list[Effect]:
-    _check_leads(node)
+    _check_leader(node)
     node.pending_reads.append((event.read_id, now_s))
     return replication.send_heartbeats(
         node, now_s
     ) + replication.confirm_reads(node, now_s)
 
 
-def _change(node: Node, event: ChangeConfig, now_s: float) -> list[Effect]:
-    _check_leads(node)
+def _change_config(
+    node: Node, event: ChangeConfig, now_s: float
+) -> list[Effect]:
+    _check_leader(node)
     if (
         node.commit_index < node.config_index
         or node.commit_index < node.term_start_index
@@ -96,9 +98,9 @@
         raise errors.RefusedChange('an earlier change is not yet committed')
     before, after = set(node.config.voters), set(event.config.voters)
     if len(before ^ after) > 1:
-        raise errors.RefusedChange('one voter at a time')
+        raise errors.RefusedChange('only one voter at a time may change')
     if not after:
-        raise errors.RefusedChange('the last voter stays')
+        raise errors.RefusedChange('the last voter cannot be removed')
     for added in after - before:
         replication.check_caught_up(node, added, now_s)
     entry = entries.Entry(
@@ -113,17 +115,19 @@
 def _transfer_leadership(
     node: Node, event: TransferLeadership, now_s: float
 ) -> list[Effect]:
-    _check_leads(node)
+    _check_leader(node)
     target = event.target or replication.best_transfer_target(node, now_s)
     if target == node.node_id or target not in node.config.voters:
-        raise errors.RefusedChange(f'{target or "no one"} can take over')
+        raise errors.RefusedChange(
+            f'cannot transfer leadership to {target or "another voter"}'
+        )
     node.transfer_target = target
     node.transfer_deadline_s = now_s + node.timing.election_s
     return replication.continue_transfer(node, now_s)
 
 
 def _compact(node: Node, event: Compact, now_s: float) -> list[Effect]:
-    """Take a snapshot made by the caller up to an applied index."""
+    """Record a snapshot of the state at an applied index; trim the log."""
     index = event.index
     term = node.log.term_at(index)
     newest = node.snapshot.index if node.snapshot else -1
@@ -135,7 +139,7 @@
     return [SaveSnapshot(node.snapshot)]
 
 
-def _received(node: Node, event: Received, now_s: float) -> list[Effect]:
+def _handle_message(node: Node, event: Received, now_s: float) -> list[Effect]:
     handler = _MESSAGES[type(event.message)]
     return handler(node, event.sender, event.message, now_s)
 
@@ -154,20 +158,20 @@
 
 _EVENTS: dict[type, typing.Callable] = {
     Tick: _tick,
-    Received: _received,
+    Received: _handle_message,
     Synced: replication.on_synced,
     Propose: _propose,
     Read: _read,
-    ChangeConfig: _change,
+    ChangeConfig: _change_config,
     TransferLeadership: _transfer_leadership,
     Compact: _compact,
 }
 
 
 def step(node: Node, event: typing.Any, now_s: float) -> list[Effect]:
-    """Take one event and return what is to be done, in order.
+    """Process one event and return its effects, in order.
 
     :raises NotLeader: the event is for the leader only.
-    :raises RefusedChange: the change of the controllers is not allowed.
+    :raises RefusedChange: the change of the configuration is not allowed.
     """
     return _EVENTS[type(event)](node, event, now_s)
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -209,7 +209,7 @@
 
 
 def quorum_ack_time(node: Node, now_s: float) -> float:
-    """Return a time at which a quorum still followed this leader."""
+    """Return the latest send time that a quorum has acknowledged."""
     times = [
         now_s if voter == node.node_id else node.peers[voter].acked_sent_s
         for voter in node.config.voters
@@ -231,7 +231,7 @@
 
 
 def confirm_reads(node: Node, now_s: float) -> list[Effect]:
-    """Confirm reads requested before the last contact with a quorum."""
+    """Confirm reads for which a quorum has acknowledged a later message."""
     if not node.pending_reads or node.commit_index < node.term_start_index:
         return []
     confirmed_s = quorum_ack_time(node, now_s)
@@ -326,7 +326,7 @@
     message: AppendEntriesReply | InstallSnapshotReply,
     now_s: float,
 ) -> Peer | None:
-    """Record a reply; return its peer, None if it is not for this term."""
+    """Return the peer that sent a reply, None unless it is for this term."""
     peer = node.peers.get(sender)
     if node.role != LEADER or message.term != node.term or peer is None:
         return None
