--- a/mountridge/consensus/entries.py
+++ b/mountridge/consensus/entries.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Entries of the replicated log, and the part of it kept in memory."""
+"""Entries of the replicated log, and the log kept in memory."""
 
 import typing
 
@@ -8,8 +8,8 @@
 
 __all__ = ['COMMAND', 'CONFIG', 'Config', 'EMPTY', 'Entry', 'Log']
 
-#: Kinds of entry: a leader's first one, which names the leader, a command,
-#: a set of controllers.
+#: Kinds of entry: the first one of a leader, with its id; a command; a
+#: configuration.
 EMPTY, COMMAND, CONFIG = range(3)
 
 
@@ -27,7 +27,7 @@
 
     voters: dict[str, str]
     learners: dict[str, str]
-    #: Where those stand of whom it is told; not in older logs.
+    #: Halls by controller id, as far as known; missing in older logs.
     halls: dict[str, str] = {}
 
     def addresses(self) -> dict[str, str]:
@@ -35,7 +35,7 @@
         return {**self.learners, **self.voters}
 
     def with_controller(self, key: str, address: str, hall: str) -> 'Config':
-        """Return this with ``key``, as a learner where it is new."""
+        """Return a copy with ``key``, as a learner unless it is a voter."""
         halls = {**self.halls, key: hall} if hall else self.halls
         if key in self.voters:
             voters = {**self.voters, key: address}
@@ -44,13 +44,13 @@
         return self._replace(learners=learners, halls=halls)
 
     def promote(self, key: str) -> 'Config':
-        """Return this with the learner ``key`` as a voter."""
+        """Return a copy with the learner ``key`` as a voter."""
         learners = {k: a for k, a in self.learners.items() if k != key}
         voters = {**self.voters, key: self.learners[key]}
         return self._replace(voters=voters, learners=learners)
 
     def without(self, key: str) -> 'Config':
-        """Return this without ``key``."""
+        """Return a copy without ``key``."""
         return Config(
             *({k: v for k, v in d.items() if k != key} for d in self)
         )
@@ -58,7 +58,7 @@
     def pack(self) -> bytes:
         """Return the payload of the entry that sets this configuration.
 
-        Where no hall is known it is as older controllers read it.
+        Without halls it is in the format of older controllers.
         """
         return msgspec.msgpack.encode(self if self.halls else self[:2])
 
@@ -72,7 +72,7 @@
 
 
 class Log:
-    """Entries past ``base_index``, and the configuration up to it."""
+    """Entries after ``base_index``, and the configuration at that index."""
 
     def __init__(
         self, base_index: int, base_term: int, base_config: Config
@@ -106,20 +106,20 @@
         return self.entries[start : last - self.base_index]
 
     def append(self, entries: list[Entry]) -> None:
-        """Put entries at their indexes; those past them are cut off."""
+        """Append entries, replacing all from the first one's index on."""
         first = entries[0].index
         del self.entries[first - self.base_index - 1 :]
         self.entries.extend(entries)
 
     def config(self) -> tuple[int, Config]:
-        """Return the index and value of the newest configuration."""
+        """Return the index and the value of the newest configuration."""
         for entry in reversed(self.entries):
             if entry.kind == CONFIG:
                 return entry.index, unpack_config(entry.payload)
         return self.base_index, self.base_config
 
     def all_voters(self) -> set[str]:
-        """Return whoever is a voter in a configuration that is held here."""
+        """Return the voters of all configurations in the log."""
         found = set(self.base_config.voters)
         for entry in self.entries:
             if entry.kind == CONFIG:
@@ -127,7 +127,7 @@
         return found
 
     def leader_of_last_term(self) -> str:
-        """Return whose first entry began the last term, '' if unknown."""
+        """Return the id of the leader of the last term, '' if unknown."""
         first = None
         for entry in reversed(self.entries):
             if entry.term != self.last_term:
@@ -145,7 +145,7 @@
         return self.base_config
 
     def trim(self, index: int) -> None:
-        """Forget the entries up to ``index``."""
+        """Drop the entries up to ``index``."""
         if index <= self.base_index:
             return
         self.base_config = self.config_at(index)
