--- a/mountridge/consensus/entries.py
+++ b/mountridge/consensus/entries.py
@@ -34,25 +34,27 @@
         """Return the addresses of voters and learners."""
         return {**self.learners, **self.voters}
 
-    def with_controller(self, key: str, address: str, hall: str) -> 'Config':
+    def with_controller(
+        self, node_id: str, address: str, hall: str
+    ) -> 'Config':
         """Return a copy with ``key``, as a learner unless it is a voter."""
-        halls = {**self.halls, key: hall} if hall else self.halls
-        if key in self.voters:
-            voters = {**self.voters, key: address}
+        halls = {**self.halls, node_id: hall} if hall else self.halls
+        if node_id in self.voters:
+            voters = {**self.voters, node_id: address}
             return self._replace(voters=voters, halls=halls)
-        learners = {**self.learners, key: address}
+        learners = {**self.learners, node_id: address}
         return self._replace(learners=learners, halls=halls)
 
-    def promote(self, key: str) -> 'Config':
+    def promote(self, node_id: str) -> 'Config':
         """Return a copy with the learner ``key`` as a voter."""
-        learners = {k: a for k, a in self.learners.items() if k != key}
-        voters = {**self.voters, key: self.learners[key]}
+        learners = {k: a for k, a in self.learners.items() if k != node_id}
+        voters = {**self.voters, node_id: self.learners[node_id]}
         return self._replace(voters=voters, learners=learners)
 
-    def without(self, key: str) -> 'Config':
+    def without(self, node_id: str) -> 'Config':
         """Return a copy without ``key``."""
         return Config(
-            *({k: v for k, v in d.items() if k != key} for d in self)
+            *({k: v for k, v in d.items() if k != node_id} for d in self)
         )
 
     def pack(self) -> bytes:
--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A replica: the consensus core with its disk, its clock and its peers."""
+"""A replica: runs the consensus core with its disk, clock and peers."""
 
 import random
 import typing
@@ -15,10 +15,10 @@
 
 __all__ = ['Replica', 'pack_message', 'unpack_message']
 
-TICK_PART = 0.25
-#: A full disk is tried again after this long: well within an election.
-FULL_S = 0.2
-#: Entries kept in memory past a snapshot, for followers a little behind.
+TICK_FRACTION = 0.25
+#: Interval between retries on a full disk; below the election time.
+DISK_FULL_RETRY_S = 0.2
+#: Entries up to a snapshot that stay in memory, for slow followers.
 KEEP_ENTRIES = 1000
 
 _KINDS: tuple[type, ...] = (
@@ -32,33 +32,33 @@
     consensus.LeaderQuery,
     consensus.NotLeading,
 )
-_NUMBER = {kind: number for number, kind in enumerate(_KINDS)}
+_KIND_NUMBERS = {kind: number for number, kind in enumerate(_KINDS)}
 _DECODERS = [msgspec.msgpack.Decoder(kind) for kind in _KINDS]
-_OUTER = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw])
+_ENVELOPE = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw])
 
 
 def pack_message(message: consensus.Message) -> bytes:
-    """Return the bytes of a message between controllers."""
-    return msgspec.msgpack.encode((_NUMBER[type(message)], message))
+    """Return the encoding of a message between controllers."""
+    return msgspec.msgpack.encode((_KIND_NUMBERS[type(message)], message))
 
 
 def unpack_message(data: bytes) -> consensus.Message:
-    """Return the message in ``data``.
+    """Return the message encoded in ``data``.
 
-    :raises BadMessage: where it is malformed.
+    :raises BadMessage: it is malformed.
     """
     try:
-        kind, body = _OUTER.decode(data)
+        kind, body = _ENVELOPE.decode(data)
         return _DECODERS[kind].decode(body)
     except (msgspec.MsgspecError, IndexError) as problem:
         raise errors.BadMessage(str(problem))
 
 
-class Machine(typing.Protocol):
-    """What a replica drives: a state machine."""
+class StateMachine(typing.Protocol):
+    """The state machine that a replica applies committed entries to."""
 
     def apply_payload(self, index: int, payload: bytes) -> typing.Any:
-        """Apply one committed entry and return its reply."""
+        """Apply one committed entry and return its result."""
 
     def snapshot(self) -> bytes:
         """Return the whole state."""
@@ -73,7 +73,7 @@
     def __init__(
         self,
         app: application.Application,
-        machine: Machine,
+        machine: StateMachine,
         on_role: typing.Callable[[consensus.RoleChanged], None],
     ):
         self.app = app
@@ -84,61 +84,68 @@
         self.node = self._make_node()
         self.applied = self.node.commit_index
         self._peers: dict[str, tuple[str, sockets.Caller]] = {}
-        #: Where those that wrote to this replica take answers, by id.
-        self._senders: dict[str, str] = {}
+        #: Addresses for replies to controllers not in the configuration.
+        self._reply_addresses: dict[str, str] = {}
         self._events: list[typing.Any] = []
         self._proposals: list[tuple[bytes, trio.MemorySendChannel]] = []
-        self._waiting: dict[int, tuple[int, trio.MemorySendChannel]] = {}
-        self._reads: dict[int, trio.MemorySendChannel] = {}
-        self._read_count = 0
-        #: Effects of steps taken outside the task, still to be carried out.
-        self._carried: list[consensus.Effect] = []
+        self._pending_commands: dict[
+            int, tuple[int, trio.MemorySendChannel]
+        ] = {}
+        self._pending_reads: dict[int, trio.MemorySendChannel] = {}
+        self._last_read_id = 0
+        #: Effects of steps outside `run`, which executes them.
+        self._deferred_effects: list[consensus.Effect] = []
         self._wake = trio.Event()
         self._stepped = trio.Event()
         self._snapshotting = False
 
     def _make_node(self) -> consensus.Node:
-        found = self.disk.contents
+        contents = self.disk.contents
         log = entries.Log(
-            found.snapshot.index, found.snapshot.term, found.snapshot.config
+            contents.snapshot.index,
+            contents.snapshot.term,
+            contents.snapshot.config,
         )
-        if found.entries:
-            log.append(found.entries)
+        if contents.entries:
+            log.append(contents.entries)
         timing = consensus.Timing(
             self._settings['heartbeat_s'], self._settings['election_s']
         )
         node = consensus.make_node(
-            found.node_id,
-            found.term,
-            found.voted_for,
+            contents.node_id,
+            contents.term,
+            contents.voted_for,
             log,
             timing,
             random.Random(self.app.incarnation),
             self.app.now_s(),
         )
-        node.snapshot = found.snapshot
-        if found.snapshot.data:
-            self.machine.restore(found.snapshot.data)
+        node.snapshot = contents.snapshot
+        if contents.snapshot.data:
+            self.machine.restore(contents.snapshot.data)
         return node
 
-    # What others ask.
+    # Calls from other modules.
 
     def lease_valid(self) -> bool:
-        """Return whether this replica surely leads now.
+        """Return whether this replica holds the leader's lease.
 
-        It must also have applied all that earlier leaders committed.
+        It must also have applied all entries that earlier leaders committed.
         """
         if self.applied < self.node.term_start_index:
             return False
         return replication.lease_valid(self.node, self.app.now_s())
 
     def check_leader(self) -> None:
-        """Refuse, naming the leader, unless this replica surely leads."""
+        """Check that this replica holds the leader's lease.
+
+        :raises NotLeader: it does not; names the known leader.
+        """
         if not self.lease_valid():
             problem = errors.NotLeader()
             leader_id = self.node.leader_id
             if leader_id == self.node.node_id:
-                # It led, and is not heard by enough: someone else may know.
+                # The lease has run out: another controller may lead.
                 raise problem
             problem.leader = leader_id.partition('.')[0]
             addresses = self.node.config.addresses()
@@ -146,10 +153,10 @@
             raise problem
 
     async def propose(self, payload: bytes) -> typing.Any:
-        """Return the machine's reply once the command is committed.
+        """Return the state machine's result once the command is committed.
 
-        :raises NotLeader: it was not taken, or was lost with a leader.
-        :raises MountridgeError: the machine refuses the command.
+        :raises NotLeader: it was not proposed, or was lost in an election.
+        :raises MountridgeError: the state machine refuses the command.
         """
         self.check_leader()
         sender, receiver = trio.open_memory_channel(1)
@@ -160,73 +167,75 @@
     async def confirm_leadership(self) -> None:
         """Return once a quorum has confirmed that this replica leads."""
         self.check_leader()
-        self._read_count += 1
+        self._last_read_id += 1
         sender, receiver = trio.open_memory_channel(1)
-        self._reads[self._read_count] = sender
-        self.submit_event(consensus.Read(self._read_count))
+        self._pending_reads[self._last_read_id] = sender
+        self.submit_event(consensus.Read(self._last_read_id))
         _unwrap(await receiver.receive())
 
     async def wait_for_step(self) -> None:
-        """Return after the next step, by which much may have changed."""
+        """Wait until the effects of the next step are executed."""
         await self._stepped.wait()
 
     def submit_event(self, event: typing.Any) -> None:
-        """Hand an event to the core."""
+        """Queue an event for the consensus core."""
         self._events.append(event)
         self._wake.set()
 
     def on_raft(self, peer, message: messages.Raft) -> None:
-        """Take a message from another controller."""
+        """Handle a message from another controller."""
         if peer.name and peer.name != message.sender.partition('.')[0]:
             self.app.metrics.incr('raft.wrong_sender')
             return
         try:
-            inner = unpack_message(message.body)
+            consensus_message = unpack_message(message.body)
         except errors.BadMessage:
             self.app.metrics.incr('message.malformed')
             return
-        self._senders[message.sender] = message.address
+        self._reply_addresses[message.sender] = message.address
         if message.to != self.node.node_id:
             self.app.metrics.incr('raft.wrong_identity')
-            self._answer_for_former(message, inner)
+            self._reply_for_former_identity(message, consensus_message)
             return
-        self.submit_event(consensus.Received(message.sender, inner))
+        self.submit_event(
+            consensus.Received(message.sender, consensus_message)
+        )
 
-    def _answer_for_former(
-        self, message: messages.Raft, inner: consensus.Message
+    def _reply_for_former_identity(
+        self, message: messages.Raft, consensus_message: consensus.Message
     ) -> None:
-        """Tell a voter that a former identity of this box does not lead.
+        """Reply that a former identity of this box does not lead.
 
-        The box has lost its disk, and with it the identity, but it was asked
-        at the address of the former one, whose process must have ended for
-        this one to listen there. Without the answer voters that start anew
-        would wait for 0.5 to 1.0 s where the leader's disk is lost.
+        The box has lost its disk and its identity, but listens at the former
+        address, so the former process has ended. Without the reply restarted
+        voters would wait for the election timeout if the leader's disk is
+        lost.
         """
         is_own = message.to.partition('.')[0] == self.app.name
-        if is_own and isinstance(inner, consensus.LeaderQuery):
-            answer = consensus.NotLeading(inner.start_id)
+        if is_own and isinstance(consensus_message, consensus.LeaderQuery):
+            answer = consensus.NotLeading(consensus_message.start_id)
             self._send(consensus.Send(message.sender, answer), message.to)
 
     # The task.
 
     async def run(self) -> None:
-        """Feed events to the core and carry out its effects, for ever."""
-        tick_s = self._settings['heartbeat_s'] * TICK_PART
+        """Step the core with queued events and execute its effects."""
+        tick_s = self._settings['heartbeat_s'] * TICK_FRACTION
         if self.applied < self.node.log.last_index:
-            logger.info('recovered', index=self.node.log.last_index)
+            logger.info('log recovered', index=self.node.log.last_index)
         while True:
             with trio.move_on_after(tick_s):
                 await self._wake.wait()
             self._wake = trio.Event()
             effects = self._step_all()
-            await self._carry_out(effects)
+            await self._execute(effects)
             self._stepped.set()
             self._stepped = trio.Event()
             self._maybe_snapshot()
 
     def _step_all(self) -> list[consensus.Effect]:
         events, self._events = self._events, []
-        effects, self._carried = self._carried, []
+        effects, self._deferred_effects = self._deferred_effects, []
         for event in events:
             effects += self._step(event)
         if self._proposals:
@@ -239,27 +248,30 @@
             return consensus.step(self.node, event, now_s)
         except errors.MountridgeError as problem:
             if isinstance(event, consensus.Read):
-                self._answer(self._reads, event.read_id, problem)
+                self._resolve(self._pending_reads, event.read_id, problem)
             return []
 
     def _step_proposals(self) -> list[consensus.Effect]:
-        taken, self._proposals = self._proposals, []
+        proposals, self._proposals = self._proposals, []
         first = self.node.log.last_index + 1
-        payloads = [payload for payload, _ in taken]
+        payloads = [payload for payload, _ in proposals]
         try:
             effects = consensus.step(
                 self.node, consensus.Propose(payloads), self.app.now_s()
             )
         except errors.NotLeader as problem:
-            for _, waiter in taken:
+            for _, waiter in proposals:
                 _send(waiter, problem)
             return []
-        for number, (_, waiter) in enumerate(taken):
-            self._waiting[first + number] = (self.node.term, waiter)
+        for number, (_, waiter) in enumerate(proposals):
+            self._pending_commands[first + number] = (self.node.term, waiter)
         return effects
 
-    async def _carry_out(self, effects: list[consensus.Effect]) -> None:
-        """Send early messages, save all in one frame, then do the rest."""
+    async def _execute(self, effects: list[consensus.Effect]) -> None:
+        """Execute effects: sends before the sync, then saves, then the rest.
+
+        All votes and entries are saved in one frame.
+        """
         for effect in effects:
             if isinstance(effect, consensus.Send) and effect.before_sync:
                 self._send(effect)
@@ -271,37 +283,37 @@
                 self._apply(effect.entries)
             elif isinstance(effect, consensus.ReadReady):
                 result = None if effect.ok else errors.NotLeader()
-                self._answer(self._reads, effect.read_id, result)
+                self._resolve(self._pending_reads, effect.read_id, result)
             elif isinstance(effect, consensus.RoleChanged):
                 self._announce_role(effect)
             elif isinstance(effect, consensus.SaveSnapshot):
-                self._restore(effect)
+                self._restore_snapshot(effect)
 
     async def _save(self, effects: list[consensus.Effect]) -> None:
         vote: consensus.SaveVote | None = None
-        fresh: list[entries.Entry] = []
+        new_entries: list[entries.Entry] = []
         for effect in effects:
             if isinstance(effect, consensus.SaveVote):
                 vote = effect
             elif isinstance(effect, consensus.SaveEntries):
-                fresh = fresh + effect.entries
+                new_entries = new_entries + effect.entries
             elif isinstance(effect, consensus.SaveSnapshot):
-                # The new journal begins with the log as it is by now.
-                fresh = []
+                # The new journal starts with all of the current log.
+                new_entries = []
                 await self._save_snapshot(effect)
-        if not vote and not fresh:
+        if not vote and not new_entries:
             return
-        await self._write(self.disk.save, vote, fresh)
-        if fresh:
-            last = fresh[-1]
+        await self._write(self.disk.save, vote, new_entries)
+        if new_entries:
+            last = new_entries[-1]
             self.submit_event(consensus.Synced(last.index, last.term))
 
     async def _write(self, write: typing.Callable, *args: typing.Any) -> None:
-        """Write to the disk, again and again while it has no room.
+        """Write to the disk; retry while it is full.
 
-        Meanwhile this replica takes no step and says nothing: as a leader
-        it loses its lease and another one is elected, as a voter it is
-        missed. Nothing is acknowledged that is not on the disk.
+        Until then this replica makes no step and sends nothing: a leader
+        loses its lease and is replaced, a voter does not count. Nothing is
+        acknowledged before it is on the disk.
         """
         is_full = False
         while True:
@@ -315,12 +327,12 @@
                     )
                 is_full = True
                 self.app.metrics.incr('disk.full')
-            await trio.sleep(FULL_S)
+            await trio.sleep(DISK_FULL_RETRY_S)
         if is_full:
-            logger.info('disk has room again')
+            logger.info('disk no longer full')
 
     async def _save_snapshot(self, effect: consensus.SaveSnapshot) -> None:
-        """Put a snapshot in place; the log here is what is past it."""
+        """Save a snapshot and a journal of the entries after it."""
         snapshot = effect.snapshot
         if effect.from_leader:
             await self._write(self.disk.write_snapshot, snapshot)
@@ -332,7 +344,7 @@
                 consensus.Synced(after[-1].index, after[-1].term)
             )
 
-    def _restore(self, effect: consensus.SaveSnapshot) -> None:
+    def _restore_snapshot(self, effect: consensus.SaveSnapshot) -> None:
         if effect.from_leader:
             self.machine.restore(effect.snapshot.data)
             self.applied = effect.snapshot.index
@@ -340,21 +352,21 @@
 
     def _send(self, effect: consensus.Send, sender: str = '') -> None:
         address = self.node.config.addresses().get(effect.to)
-        known = self._peers.get(effect.to)
-        address = address or (known[0] if known else None)
+        connection = self._peers.get(effect.to)
+        address = address or (connection[0] if connection else None)
         name = effect.to.partition('.')[0]
-        # A learner with an empty log knows only who wrote to it.
-        address = address or self._senders.get(effect.to)
+        # A learner with an empty log knows only senders of messages.
+        address = address or self._reply_addresses.get(effect.to)
         address = address or self.app.settings['controllers'].get(name)
         if address is None:
             return
-        if known is None or known[0] != address:
-            if known:
-                known[1].close()
-            known = (address, self.app.connect(address, name))
-            self._peers[effect.to] = known
+        if connection is None or connection[0] != address:
+            if connection:
+                connection[1].close()
+            connection = (address, self.app.connect(address, name))
+            self._peers[effect.to] = connection
         body = pack_message(effect.message)
-        if not known[1].send(
+        if not connection[1].send(
             messages.Raft(
                 sender or self.node.node_id,
                 effect.to,
@@ -375,20 +387,20 @@
                     )
                 except errors.MountridgeError as problem:
                     result = problem
-            found = self._waiting.pop(entry.index, None)
-            if found is not None:
-                lost = found[0] != entry.term
-                _send(found[1], errors.NotLeader() if lost else result)
+            pending = self._pending_commands.pop(entry.index, None)
+            if pending is not None:
+                lost = pending[0] != entry.term
+                _send(pending[1], errors.NotLeader() if lost else result)
 
     def _announce_role(self, role: consensus.RoleChanged) -> None:
-        logger.info('role', **role._asdict())
+        logger.info('role changed', **role._asdict())
         self.app.metrics.incr(f'raft.{role.role}')
         self._on_role(role)
         address = self.node.config.addresses().get(role.leader_id, '')
         if address:
             signals.leader_known.send(self, address=address)
 
-    def _answer(self, waiting: dict, key: int, result: typing.Any) -> None:
+    def _resolve(self, waiting: dict, key: int, result: typing.Any) -> None:
         waiter = waiting.pop(key, None)
         if waiter is not None:
             _send(waiter, result)
@@ -406,24 +418,26 @@
         self.app.start_task(self._snapshot, index, self.machine.snapshot())
 
     async def _snapshot(self, index: int, data: bytes) -> None:
-        """Write a snapshot beside the journal, then let the log shrink."""
+        """Write a snapshot beside the journal, then compact the log."""
         log = self.node.log
-        made = consensus.Snapshot(
+        snapshot = consensus.Snapshot(
             index, log.term_at(index), log.config_at(index), data
         )
         try:
-            await trio.to_thread.run_sync(self.disk.write_snapshot, made)
+            await trio.to_thread.run_sync(self.disk.write_snapshot, snapshot)
         except errors.DiskFull as problem:
-            logger.error('no snapshot', index=index, reason=str(problem))
-            await trio.sleep(FULL_S)
+            logger.error(
+                'failed to write snapshot', index=index, reason=str(problem)
+            )
+            await trio.sleep(DISK_FULL_RETRY_S)
             return
         finally:
             self._snapshotting = False
         self.submit_event(consensus.Compact(index, data, KEEP_ENTRIES))
-        logger.info('snapshot', index=index, size_bytes=len(data))
+        logger.info('snapshot written', index=index, size_bytes=len(data))
 
     async def change_config(self, config: entries.Config) -> None:
-        """Change the controllers; return once it is committed.
+        """Change the configuration; return once that is committed.
 
         :raises RefusedChange: with the reason for the operator.
         """
@@ -432,13 +446,13 @@
         effects = consensus.step(self.node, event, self.app.now_s())
         index, term = self.node.log.last_index, self.node.term
         sender, receiver = trio.open_memory_channel(1)
-        self._waiting[index] = (term, sender)
-        self._carried.extend(effects)
+        self._pending_commands[index] = (term, sender)
+        self._deferred_effects.extend(effects)
         self._wake.set()
         _unwrap(await receiver.receive())
 
     async def transfer_leadership(self) -> None:
-        """Give leadership to another voter before a planned stop."""
+        """Transfer leadership to another voter before a planned stop."""
         if self.node.role != consensus.LEADER:
             return
         self.submit_event(consensus.TransferLeadership(''))
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -400,8 +400,8 @@
     ),
     Mutant(
         'entry: answers only to known addresses', 'replicas',
-        'address = address or self._senders.get(effect.to)', '', 'entry',
-        'lost disk',
+        'address = address or self._reply_addresses.get(effect.to)', '',
+        'entry', 'lost disk',
     ),
     Mutant(
         'entry: a lower version of routes', 'statemachine',
