--- a/mountridge/clistorage.py
+++ b/mountridge/clistorage.py
@@ -79,7 +79,7 @@
 def storage_check(folder: str) -> None:
     """Check all of a data folder without changing it."""
     try:
-        click.echo(storage.check(folder))
+        click.echo(storage.describe(folder))
     except (errors.MountridgeError, OSError) as problem:
         if isinstance(problem, OSError):
             problem = errors.DamagedStorage(str(problem))
--- a/mountridge/consensus/storage.py
+++ b/mountridge/consensus/storage.py
@@ -27,7 +27,7 @@
 from mountridge.consensus import consensustypes as types, entries
 from mountridge import errors
 
-__all__ = ['Contents', 'FORMAT', 'Storage', 'check', 'initialize', 'read']
+__all__ = ['Contents', 'FORMAT', 'Storage', 'describe', 'initialize', 'read']
 
 #: 2: frames carry the CRC-32 of the standard library, whose import takes
 #: no time; that of the package crc32c took 30 ms of each start.
@@ -237,7 +237,7 @@
     )
 
 
-def check(folder: str) -> str:
+def describe(folder: str) -> str:
     """Return a description of a folder for the operator."""
     found = read(folder)
     last = found.entries[-1].index if found.entries else found.snapshot.index
