--- a/features/steps/storage_steps.py
+++ b/features/steps/storage_steps.py
@@ -84,7 +84,7 @@
 def opens_with(context, count):
     found = storage.read(str(context.folder))
     assert [e.index for e in found.entries] == list(range(1, count + 1))
-    assert found.cut_bytes > 0
+    assert found.truncated_bytes > 0
     disk = storage.Storage(str(context.folder))
     disk.save(None, [_entry(count + 1)])
     disk.close()
@@ -160,7 +160,7 @@
 @then('the folder opens again with exactly {count:d} frames and nothing cut')
 def opens_whole(context, count):
     found = storage.read(str(context.folder))
-    assert found.cut_bytes == 0, found.cut_bytes
+    assert found.truncated_bytes == 0, found.truncated_bytes
     assert _indexes(context.folder) == list(range(1, count + 1))
 
 
--- a/mountridge/consensus/storage.py
+++ b/mountridge/consensus/storage.py
@@ -33,7 +33,7 @@
 #: no time; that of the package crc32c took 30 ms of each start.
 FORMAT = 2
 #: What a write fails with where there is no room for it.
-NO_ROOM = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 _MAGIC = b'MRf2'
 _HEADER = struct.Struct('<4sII')
 
@@ -55,19 +55,19 @@
     snapshot: types.Snapshot | None
     entries: list[entries.Entry]
     journal: pathlib.Path
-    good_bytes: int  # of the journal; what is past them was cut
-    cut_bytes: int
+    valid_bytes: int  # of the journal; what is past them was cut
+    truncated_bytes: int
 
 
 _RECORDS = msgspec.msgpack.Decoder(list[Record])
 _SNAPSHOT = msgspec.msgpack.Decoder(types.Snapshot)
 
 
-def _frame(body: bytes) -> bytes:
+def _encode_frame(body: bytes) -> bytes:
     return _HEADER.pack(_MAGIC, len(body), zlib.crc32(body)) + body
 
 
-def _frame_at(data: bytes, offset: int) -> bytes | None:
+def _decode_frame_at(data: bytes, offset: int) -> bytes | None:
     """Return the body of the good frame at ``offset``, or None."""
     if offset + _HEADER.size > len(data):
         return None
@@ -78,7 +78,7 @@
     return body if zlib.crc32(body) == checksum else None
 
 
-def _frames(data: bytes, name: str) -> tuple[list[bytes], int]:
+def _decode_frames(data: bytes, name: str) -> tuple[list[bytes], int]:
     """Return the bodies of all frames, and where the good part ends.
 
     :raises DamagedStorage: a good frame stands after a bad one.
@@ -86,19 +86,19 @@
     bodies = []
     offset = 0
     while offset < len(data):
-        body = _frame_at(data, offset)
+        body = _decode_frame_at(data, offset)
         if body is None:
             break
         bodies.append(body)
         offset += _HEADER.size + len(body)
-    later = data.find(_MAGIC, offset + 1)
-    while later >= 0:
-        if _frame_at(data, later) is not None:
+    next_magic = data.find(_MAGIC, offset + 1)
+    while next_magic >= 0:
+        if _decode_frame_at(data, next_magic) is not None:
             raise errors.DamagedStorage(
-                f'{name}: damaged at byte {offset}, good again at {later}; '
-                'replace this controller (docs/OPERATORS.md)'
+                f'{name}: damaged at byte {offset}, valid again at '
+                f'{next_magic}; replace this controller (docs/OPERATORS.md)'
             )
-        later = data.find(_MAGIC, later + 1)
+        next_magic = data.find(_MAGIC, next_magic + 1)
     return bodies, offset
 
 
@@ -110,33 +110,33 @@
         os.close(handle)
 
 
-def _write_whole(path: pathlib.Path, data: bytes) -> None:
+def _write_atomically(path: pathlib.Path, data: bytes) -> None:
     """Write a file so that it is there whole and synced, or not at all."""
-    part = path.with_name(path.name + '.part')
+    partial = path.with_name(path.name + '.part')
     try:
-        with open(part, 'wb') as out:
+        with open(partial, 'wb') as out:
             out.write(data)
             out.flush()
             os.fsync(out.fileno())
     except OSError:
         # On a full disk half a file only takes room.
-        part.unlink(missing_ok=True)
+        partial.unlink(missing_ok=True)
         raise
-    os.replace(part, path)
+    os.replace(partial, path)
     _sync_folder(path.parent)
 
 
-def _number(path: pathlib.Path) -> int:
+def _file_number(path: pathlib.Path) -> int:
     return int(path.name.rpartition('-')[2])
 
 
-def _newest(folder: pathlib.Path, kind: str) -> pathlib.Path | None:
-    found = [
+def _newest_file(folder: pathlib.Path, kind: str) -> pathlib.Path | None:
+    candidates = [
         path
         for path in folder.glob(f'{kind}-*')
         if path.name.rpartition('-')[2].isdigit()
     ]
-    return max(found, key=_number) if found else None
+    return max(candidates, key=_file_number) if candidates else None
 
 
 def initialize(folder: str, node_id: str, config: entries.Config) -> None:
@@ -144,38 +144,38 @@
 
     :raises StorageFailed: the folder holds data already, or can't be made.
     """
-    place = pathlib.Path(folder)
+    root = pathlib.Path(folder)
     try:
-        place.mkdir(parents=True, exist_ok=True)
-        if (place / 'format').exists():
+        root.mkdir(parents=True, exist_ok=True)
+        if (root / 'format').exists():
             raise errors.StorageFailed(f'{folder} holds data already')
         first = types.Snapshot(0, 0, config, b'')
         body = msgspec.msgpack.encode(first)
-        _write_whole(place / 'snapshot-0', _frame(body))
-        _write_whole(place / 'journal-1', b'')
-        form = {'format': FORMAT, 'id': node_id}
-        _write_whole(place / 'format', json.dumps(form).encode())
+        _write_atomically(root / 'snapshot-0', _encode_frame(body))
+        _write_atomically(root / 'journal-1', b'')
+        metadata = {'format': FORMAT, 'id': node_id}
+        _write_atomically(root / 'format', json.dumps(metadata).encode())
     except OSError as problem:
         raise errors.StorageFailed(f'{folder}: {problem}')
 
 
 def _read_format(folder: pathlib.Path) -> str:
     try:
-        form = json.loads((folder / 'format').read_bytes())
-        if form['format'] != FORMAT:
+        metadata = json.loads((folder / 'format').read_bytes())
+        if metadata['format'] != FORMAT:
             raise errors.DamagedStorage(
-                f'{folder}: format {form["format"]}, not {FORMAT}'
+                f'{folder}: format {metadata["format"]}, expected {FORMAT}'
             )
-        return form['id']
+        return metadata['id']
     except (ValueError, KeyError, TypeError):
         raise errors.DamagedStorage(f'{folder}/format: damaged')
 
 
 def _read_snapshot(folder: pathlib.Path) -> types.Snapshot:
-    path = _newest(folder, 'snapshot')
+    path = _newest_file(folder, 'snapshot')
     if path is None:
         raise errors.DamagedStorage(f'{folder}: no snapshot')
-    body = _frame_at(path.read_bytes(), 0)
+    body = _decode_frame_at(path.read_bytes(), 0)
     if body is None:
         raise errors.DamagedStorage(f'{path.name}: damaged')
     return _SNAPSHOT.decode(body)
@@ -186,7 +186,7 @@
 ) -> Record:
     """Return the last vote and the entries past the snapshot."""
     term, voted_for = 0, ''
-    kept: list[entries.Entry] = []
+    log_entries: list[entries.Entry] = []
     for body in bodies:
         for record in _RECORDS.decode(body):
             if record.term:
@@ -194,18 +194,18 @@
             for entry in record.entries:
                 if entry.index <= snapshot.index:
                     continue
-                place = entry.index - snapshot.index - 1
-                if place > len(kept):
+                position = entry.index - snapshot.index - 1
+                if position > len(log_entries):
                     raise errors.DamagedStorage(
-                        f'{name}: entry {entry.index} follows on '
-                        f'{snapshot.index + len(kept)}'
+                        f'{name}: entry {entry.index} follows entry '
+                        f'{snapshot.index + len(log_entries)}'
                     )
-                del kept[place:]
-                kept.append(entry)
-    newest = kept[-1].term if kept else snapshot.term
+                del log_entries[position:]
+                log_entries.append(entry)
+    newest = log_entries[-1].term if log_entries else snapshot.term
     if newest > term:
         term, voted_for = newest, ''
-    return Record(term, voted_for, kept)
+    return Record(term, voted_for, log_entries)
 
 
 def read(folder: str) -> Contents:
@@ -213,38 +213,43 @@
 
     :raises DamagedStorage: with what is damaged, and where.
     """
-    place = pathlib.Path(folder)
-    node_id = _read_format(place)
-    snapshot = _read_snapshot(place)
-    path = _newest(place, 'journal')
+    root = pathlib.Path(folder)
+    node_id = _read_format(root)
+    snapshot = _read_snapshot(root)
+    path = _newest_file(root, 'journal')
     if path is None:
         raise errors.DamagedStorage(f'{folder}: no journal')
     data = path.read_bytes()
     try:
-        bodies, good = _frames(data, path.name)
-        found = _replay(bodies, snapshot, path.name)
+        bodies, valid_end = _decode_frames(data, path.name)
+        record = _replay(bodies, snapshot, path.name)
     except msgspec.MsgspecError as problem:
         raise errors.DamagedStorage(f'{path.name}: {problem}')
     return Contents(
         node_id,
-        found.term,
-        found.voted_for,
+        record.term,
+        record.voted_for,
         snapshot,
-        found.entries,
+        record.entries,
         path,
-        good,
-        len(data) - good,
+        valid_end,
+        len(data) - valid_end,
     )
 
 
 def describe(folder: str) -> str:
     """Return a description of a folder for the operator."""
-    found = read(folder)
-    last = found.entries[-1].index if found.entries else found.snapshot.index
+    contents = read(folder)
+    last = (
+        contents.entries[-1].index
+        if contents.entries
+        else contents.snapshot.index
+    )
     return (
-        f'id {found.node_id}, term {found.term}, snapshot at '
-        f'{found.snapshot.index}, last entry {last}, journal '
-        f'{found.good_bytes} bytes, cut at the end {found.cut_bytes} bytes'
+        f'id {contents.node_id}, term {contents.term}, snapshot at '
+        f'{contents.snapshot.index}, last entry {last}, journal '
+        f'{contents.valid_bytes} bytes, truncated at the end '
+        f'{contents.truncated_bytes} bytes'
     )
 
 
@@ -253,19 +258,19 @@
 
     def __init__(self, folder: str):
         self._folder = pathlib.Path(folder)
-        self._lock = self._take_lock()
+        self._lock = self._acquire_lock()
         self.contents = read(folder)
-        self._clean()
+        self._remove_leftovers()
         self._term = self.contents.term
         self._voted_for = self.contents.voted_for
         self._journal = open(self.contents.journal, 'r+b', buffering=0)
-        self._journal.truncate(self.contents.good_bytes)
-        self._journal.seek(self.contents.good_bytes)
-        self._good_bytes = self.contents.good_bytes
+        self._journal.truncate(self.contents.valid_bytes)
+        self._journal.seek(self.contents.valid_bytes)
+        self._valid_bytes = self.contents.valid_bytes
         os.fsync(self._journal.fileno())
         self._failed = False
 
-    def _take_lock(self) -> typing.IO:
+    def _acquire_lock(self) -> typing.IO:
         try:
             lock = open(self._folder / 'lock', 'wb')
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -275,70 +280,76 @@
         except OSError as problem:
             raise errors.StorageFailed(f'{self._folder}: {problem}')
 
-    def _clean(self) -> None:
+    def _remove_leftovers(self) -> None:
         """Remove what a crash may have left behind."""
         for path in self._folder.glob('*.part'):
             path.unlink()
-        self._remove_older('journal', _number(self.contents.journal))
+        self._remove_older('journal', _file_number(self.contents.journal))
         self._remove_older('snapshot', self.contents.snapshot.index)
 
     def _remove_older(self, kind: str, number: int) -> None:
         for path in self._folder.glob(f'{kind}-*'):
-            if _number(path) < number:
+            if _file_number(path) < number:
                 path.unlink()
 
     def save(
         self,
         vote: types.SaveVote | None,
-        fresh: list[entries.Entry],
+        new_entries: list[entries.Entry],
     ) -> None:
         """Write one frame and sync it.
 
         :raises DiskFull: nothing was written; the same may be tried again.
         :raises StorageFailed: nothing may be acknowledged after that.
         """
-        self._check()
+        self._check_not_failed()
         if vote:
             self._term, self._voted_for = vote
         record = Record(
-            vote.term if vote else 0, vote.voted_for if vote else '', fresh
+            vote.term if vote else 0,
+            vote.voted_for if vote else '',
+            new_entries,
         )
-        frame = _frame(msgspec.msgpack.encode([record]))
+        frame = _encode_frame(msgspec.msgpack.encode([record]))
         try:
             written = self._journal.write(frame)
             if written != len(frame):
                 raise OSError(errno.ENOSPC, 'no room for the whole frame')
         except OSError as problem:
-            self._take_back(problem)
+            self._undo_write(problem)
         try:
             os.fdatasync(self._journal.fileno())
         except OSError as problem:
-            raise self._final('journal', problem)
-        self._good_bytes += len(frame)
+            raise self._fail_permanently('journal', problem)
+        self._valid_bytes += len(frame)
 
-    def _check(self) -> None:
+    def _check_not_failed(self) -> None:
         if self._failed:
             raise errors.StorageFailed('an earlier write failed')
 
-    def _take_back(self, problem: OSError) -> typing.NoReturn:
+    def _undo_write(self, problem: OSError) -> typing.NoReturn:
         """Remove what a failed write has left behind the last good frame."""
         try:
-            self._journal.truncate(self._good_bytes)
-            self._journal.seek(self._good_bytes)
-        except OSError as second:
-            raise self._final('journal', second)
-        raise self._failure('journal', problem)
-
-    def _failure(self, what: str, problem: OSError) -> errors.StorageFailed:
+            self._journal.truncate(self._valid_bytes)
+            self._journal.seek(self._valid_bytes)
+        except OSError as undo_problem:
+            raise self._fail_permanently('journal', undo_problem)
+        raise self._write_error('journal', problem)
+
+    def _write_error(
+        self, what: str, problem: OSError
+    ) -> errors.StorageFailed:
         """Return the error for a failed write; final unless there is no room.
 
         What was written before stays as it was synced.
         """
-        if problem.errno in NO_ROOM:
+        if problem.errno in DISK_FULL_ERRNOS:
             return errors.DiskFull(f'{what}: {problem}')
-        return self._final(what, problem)
+        return self._fail_permanently(what, problem)
 
-    def _final(self, what: str, problem: OSError) -> errors.StorageFailed:
+    def _fail_permanently(
+        self, what: str, problem: OSError
+    ) -> errors.StorageFailed:
         self._failed = True
         return errors.StorageFailed(f'{what}: {problem}')
 
@@ -348,13 +359,13 @@
         :raises DiskFull: it is not there; the journal goes on without.
         :raises StorageFailed: nothing may be acknowledged after that.
         """
-        self._check()
+        self._check_not_failed()
         body = msgspec.msgpack.encode(snapshot)
         path = self._folder / f'snapshot-{snapshot.index}'
         try:
-            _write_whole(path, _frame(body))
+            _write_atomically(path, _encode_frame(body))
         except OSError as problem:
-            raise self._failure('snapshot', problem)
+            raise self._write_error('snapshot', problem)
 
     def rotate(
         self, snapshot: types.Snapshot, after: list[entries.Entry]
@@ -364,24 +375,24 @@
         :raises DiskFull: the journal before goes on; it may be tried again.
         :raises StorageFailed: nothing may be acknowledged after that.
         """
-        self._check()
+        self._check_not_failed()
         record = Record(self._term, self._voted_for, after)
-        frame = _frame(msgspec.msgpack.encode([record]))
-        number = _number(self.contents.journal) + 1
+        frame = _encode_frame(msgspec.msgpack.encode([record]))
+        number = _file_number(self.contents.journal) + 1
         path = self._folder / f'journal-{number}'
         try:
-            _write_whole(path, frame)
+            _write_atomically(path, frame)
         except OSError as problem:
-            raise self._failure('journal', problem)
+            raise self._write_error('journal', problem)
         try:
             self._journal.close()
             self._journal = open(path, 'r+b', buffering=0)
-            self._good_bytes = self._journal.seek(0, os.SEEK_END)
+            self._valid_bytes = self._journal.seek(0, os.SEEK_END)
             self.contents = self.contents._replace(journal=path)
             self._remove_older('journal', number)
             self._remove_older('snapshot', snapshot.index)
         except OSError as problem:
-            raise self._final('journal', problem)
+            raise self._fail_permanently('journal', problem)
 
     def close(self) -> None:
         """Give the folder back."""
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -155,7 +155,8 @@
     ),
     Mutant(
         'damage cut like a torn tail', 'storage',
-        'if _frame_at(data, later) is not None:', 'if False:', 'storage',
+        'if _decode_frame_at(data, next_magic) is not None:', 'if False:',
+        'storage',
     ),
     Mutant(
         'writes after a failed one', 'storage',
@@ -164,13 +165,13 @@
     ),
     Mutant(
         'half a frame left on a full disk', 'storage',
-        '            self._journal.truncate(self._good_bytes)\n'
-        '            self._journal.seek(self._good_bytes)\n        except',
+        '            self._journal.truncate(self._valid_bytes)\n'
+        '            self._journal.seek(self._valid_bytes)\n        except',
         '            pass\n        except', 'storage',
     ),
     Mutant(
         'a full disk that is final', 'storage',
-        'if problem.errno in NO_ROOM:', 'if False:', 'storage',
+        'if problem.errno in DISK_FULL_ERRNOS:', 'if False:', 'storage',
     ),
     Mutant(
         'a full disk that ends the process', 'replicas',
