--- a/mountridge/consensus/storage.py
+++ b/mountridge/consensus/storage.py
@@ -3,14 +3,14 @@
 """Durable storage of a controller: a journal and snapshots in one folder.
 
     format          the folder's format version and the controller's id
-    lock            held while a process uses the folder
+    lock            locked while a process uses the folder
     journal-N       frames of records, each synced before the next is
-                    written; a header with length and CRC-32 on each
+                    written; each has a header with length and CRC-32
     snapshot-INDEX  one frame: the state up to INDEX
 
-Since a frame is synced before the next one is written, a bad frame at the
-very end is a write that was cut and was never acknowledged; it is cut off.
-A bad frame with a good one after it is damage, and is refused.
+As each frame is synced before the next one is written, an invalid frame at
+the end is an incomplete write that was never acknowledged; it is truncated.
+An invalid frame before a valid one is damage: opening the folder fails.
 """
 
 import errno
@@ -29,17 +29,15 @@
 
 __all__ = ['Contents', 'FORMAT', 'Storage', 'describe', 'initialize', 'read']
 
-#: 2: frames carry the CRC-32 of the standard library, whose import takes
-#: no time; that of the package crc32c took 30 ms of each start.
 FORMAT = 2
-#: What a write fails with where there is no room for it.
+#: Errors of a write for which the disk has no space.
 DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 _MAGIC = b'MRf2'
 _HEADER = struct.Struct('<4sII')
 
 
 class Record(typing.NamedTuple):
-    """One record of a frame: a vote, or entries, or both."""
+    """One record of a frame: a vote, entries or both."""
 
     term: int  # 0: no vote in this record
     voted_for: str
@@ -47,7 +45,7 @@
 
 
 class Contents(typing.NamedTuple):
-    """What a folder holds."""
+    """The contents of a data folder."""
 
     node_id: str
     term: int
@@ -55,8 +53,8 @@
     snapshot: types.Snapshot | None
     entries: list[entries.Entry]
     journal: pathlib.Path
-    valid_bytes: int  # of the journal; what is past them was cut
-    truncated_bytes: int
+    valid_bytes: int  # of the journal
+    truncated_bytes: int  # after the valid ones
 
 
 _RECORDS = msgspec.msgpack.Decoder(list[Record])
@@ -68,7 +66,7 @@
 
 
 def _decode_frame_at(data: bytes, offset: int) -> bytes | None:
-    """Return the body of the good frame at ``offset``, or None."""
+    """Return the body of the frame at ``offset``, None if invalid."""
     if offset + _HEADER.size > len(data):
         return None
     magic, length, checksum = _HEADER.unpack_from(data, offset)
@@ -79,9 +77,9 @@
 
 
 def _decode_frames(data: bytes, name: str) -> tuple[list[bytes], int]:
-    """Return the bodies of all frames, and where the good part ends.
+    """Return the bodies of all valid frames, and the offset of their end.
 
-    :raises DamagedStorage: a good frame stands after a bad one.
+    :raises DamagedStorage: a valid frame follows an invalid one.
     """
     bodies = []
     offset = 0
@@ -111,7 +109,7 @@
 
 
 def _write_atomically(path: pathlib.Path, data: bytes) -> None:
-    """Write a file so that it is there whole and synced, or not at all."""
+    """Write and sync a file under a temporary name, then rename it."""
     partial = path.with_name(path.name + '.part')
     try:
         with open(partial, 'wb') as out:
@@ -119,7 +117,7 @@
             out.flush()
             os.fsync(out.fileno())
     except OSError:
-        # On a full disk half a file only takes room.
+        # Frees the space on a full disk.
         partial.unlink(missing_ok=True)
         raise
     os.replace(partial, path)
@@ -140,9 +138,9 @@
 
 
 def initialize(folder: str, node_id: str, config: entries.Config) -> None:
-    """Make a new data folder; the configuration may be empty.
+    """Create a data folder; the configuration may be empty.
 
-    :raises StorageFailed: the folder holds data already, or can't be made.
+    :raises StorageFailed: the folder holds data already, or can't be created.
     """
     root = pathlib.Path(folder)
     try:
@@ -184,7 +182,7 @@
 def _replay(
     bodies: list[bytes], snapshot: types.Snapshot, name: str
 ) -> Record:
-    """Return the last vote and the entries past the snapshot."""
+    """Return the last vote and the entries after the snapshot."""
     term, voted_for = 0, ''
     log_entries: list[entries.Entry] = []
     for body in bodies:
@@ -209,7 +207,7 @@
 
 
 def read(folder: str) -> Contents:
-    """Return what a folder holds, checking all of it; changes nothing.
+    """Read and verify all of a data folder without changing it.
 
     :raises DamagedStorage: with what is damaged, and where.
     """
@@ -238,7 +236,7 @@
 
 
 def describe(folder: str) -> str:
-    """Return a description of a folder for the operator."""
+    """Return a description of a data folder for the operator."""
     contents = read(folder)
     last = (
         contents.entries[-1].index
@@ -254,7 +252,11 @@
 
 
 class Storage:
-    """An open data folder. A failed sync is final, a full disk is not."""
+    """An open data folder.
+
+    After a failed sync all writes fail; after a full disk they may be
+    retried.
+    """
 
     def __init__(self, folder: str):
         self._folder = pathlib.Path(folder)
@@ -281,7 +283,7 @@
             raise errors.StorageFailed(f'{self._folder}: {problem}')
 
     def _remove_leftovers(self) -> None:
-        """Remove what a crash may have left behind."""
+        """Remove files that a crash may have left."""
         for path in self._folder.glob('*.part'):
             path.unlink()
         self._remove_older('journal', _file_number(self.contents.journal))
@@ -297,9 +299,9 @@
         vote: types.SaveVote | None,
         new_entries: list[entries.Entry],
     ) -> None:
-        """Write one frame and sync it.
+        """Write and sync one frame.
 
-        :raises DiskFull: nothing was written; the same may be tried again.
+        :raises DiskFull: nothing was written; may be retried.
         :raises StorageFailed: nothing may be acknowledged after that.
         """
         self._check_not_failed()
@@ -314,7 +316,7 @@
         try:
             written = self._journal.write(frame)
             if written != len(frame):
-                raise OSError(errno.ENOSPC, 'no room for the whole frame')
+                raise OSError(errno.ENOSPC, 'no space for the whole frame')
         except OSError as problem:
             self._undo_write(problem)
         try:
@@ -328,7 +330,7 @@
             raise errors.StorageFailed('an earlier write failed')
 
     def _undo_write(self, problem: OSError) -> typing.NoReturn:
-        """Remove what a failed write has left behind the last good frame."""
+        """Remove what a failed write left after the last valid frame."""
         try:
             self._journal.truncate(self._valid_bytes)
             self._journal.seek(self._valid_bytes)
@@ -339,9 +341,9 @@
     def _write_error(
         self, what: str, problem: OSError
     ) -> errors.StorageFailed:
-        """Return the error for a failed write; final unless there is no room.
+        """Return the error of a failed write, permanent unless disk full.
 
-        What was written before stays as it was synced.
+        Earlier frames stay as they were synced.
         """
         if problem.errno in DISK_FULL_ERRNOS:
             return errors.DiskFull(f'{what}: {problem}')
@@ -354,9 +356,9 @@
         return errors.StorageFailed(f'{what}: {problem}')
 
     def write_snapshot(self, snapshot: types.Snapshot) -> None:
-        """Write and sync a snapshot file, beside the journal.
+        """Write and sync a snapshot file beside the journal.
 
-        :raises DiskFull: it is not there; the journal goes on without.
+        :raises DiskFull: it was not written; the journal stays in use.
         :raises StorageFailed: nothing may be acknowledged after that.
         """
         self._check_not_failed()
@@ -370,9 +372,9 @@
     def rotate(
         self, snapshot: types.Snapshot, after: list[entries.Entry]
     ) -> None:
-        """Begin a journal that holds only what is past a snapshot.
+        """Start a journal with only the entries after a snapshot.
 
-        :raises DiskFull: the journal before goes on; it may be tried again.
+        :raises DiskFull: the old journal stays in use; may be retried.
         :raises StorageFailed: nothing may be acknowledged after that.
         """
         self._check_not_failed()
@@ -395,6 +397,6 @@
             raise self._fail_permanently('journal', problem)
 
     def close(self) -> None:
-        """Give the folder back."""
+        """Close the folder and release its lock."""
         self._journal.close()
         self._lock.close()
