--- a/mountridge/consensus/__init__.py
+++ b/mountridge/consensus/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The replicated log: the core, its disk, and its driver."""
+"""The replicated log: consensus core, storage and replicas."""
