--- a/features/steps/consensus_steps.py
+++ b/features/steps/consensus_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import given as for_all
 from hypothesis import Phase, settings, strategies
 
-from features.worlds.consensus import consensus_lease, World
+from features.worlds.consensus import holds_lease, World
 from mountridge.consensus import consensus, entries, replicas, storage
 from mountridge import errors, messages, metrics
 
@@ -185,7 +185,7 @@
         held = [
             name
             for name, node in world.nodes.items()
-            if consensus_lease(node, world.now_s)
+            if holds_lease(node, world.now_s)
         ]
         context.held = getattr(context, 'held', []) + [held]
 
@@ -220,7 +220,7 @@
 def no_lease_at_thaw(context):
     node = context.world.nodes[context.victim]
     assert node.role == consensus.LEADER
-    assert not consensus_lease(node, context.world.now_s)
+    assert not holds_lease(node, context.world.now_s)
 
 
 def _ask(world, follower, term, index, last_term):
@@ -380,14 +380,14 @@
     world = context.world
     leader = world.wait_leader()
     lost = next(n for n in world.nodes if n != leader)
-    world.lose_disk(lost, fresh)
+    world.replace_box(lost, fresh)
     voters = list(world.config.voters)
-    world.change(voters, [fresh])
+    world.change_config(voters, [fresh])
     world.run(2)
     voters.remove(lost)
-    world.change(voters, [fresh])
+    world.change_config(voters, [fresh])
     voters.append(fresh)
-    world.change(voters)
+    world.change_config(voters)
     world.config = entries.Config({v: 'a' for v in voters}, {})
     del world.disks[lost]
     context.fresh = fresh
@@ -407,7 +407,7 @@
     world = context.world
     leader = world.wait_leader()
     back, away = [n for n in world.nodes if n != leader]
-    world.lose_disk(back, back + '.new')
+    world.replace_box(back, back + '.new')
     world.kill(leader)
     assert away in world.nodes
 
@@ -434,13 +434,13 @@
         for _ in range(150):
             _offer(context)
             world.run(0.005)
-        world.change(voters, ['c9'])
+        world.change_config(voters, ['c9'])
         peer = world.nodes[leader].peers['c9']
         # Its newest answer is fresh, but its copy is old.
         peer.acked_sent_s, peer.match_index = world.now_s, 3
         wanted = voters + ['c9']
     elif change.startswith('a learner'):
-        world.change(voters, ['c9'])
+        world.change_config(voters, ['c9'])
         wanted = voters + ['c9']
     else:
         config = entries.Config({v: 'a' for v in voters}, {'c9': 'a'})
@@ -461,7 +461,7 @@
     context.victim = world.wait_leader()
     context.begun_s = world.now_s
     world.step(context.victim, consensus.TransferLeadership(''))
-    assert not consensus_lease(world.nodes[context.victim], world.now_s)
+    assert not holds_lease(world.nodes[context.victim], world.now_s)
 
 
 @then('another one leads within {seconds:f} s')
@@ -476,7 +476,7 @@
 def no_lease(context):
     world = context.world
     world.run(1)
-    assert not consensus_lease(world.nodes[context.victim], world.now_s)
+    assert not holds_lease(world.nodes[context.victim], world.now_s)
 
 
 ACTIONS = (
@@ -617,7 +617,7 @@
         held = [
             name
             for name, node in world.nodes.items()
-            if consensus_lease(node, world.now_s)
+            if holds_lease(node, world.now_s)
         ]
         context.held.append(held)
 
--- a/features/worlds/consensus.py
+++ b/features/worlds/consensus.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A scripted clock, network and disk under the consensus core.
+"""A simulated clock, network and disks for the consensus core.
 
-Leaves out: real sockets, threads and file systems. A disk keeps what was
-synced; what was stepped but not synced is lost on a kill.
+Without sockets, threads and file systems. A disk keeps what was synced;
+effects that were not yet synced are lost when a controller is killed.
 """
 
 import collections
@@ -19,7 +19,7 @@
 
 
 class Disk:
-    """What one controller has synced."""
+    """The synced state of one controller."""
 
     def __init__(self, config):
         self.term, self.voted_for = 0, ''
@@ -31,11 +31,11 @@
             self.term, self.voted_for = effect
         elif isinstance(effect, consensus.SaveEntries):
             base = self.snapshot.index
-            fresh = [e for e in effect.entries if e.index > base]
-            if fresh:
-                place = fresh[0].index - base - 1
-                assert place <= len(self.entries), 'a gap in the journal'
-                self.entries[place:] = fresh
+            new_entries = [e for e in effect.entries if e.index > base]
+            if new_entries:
+                position = new_entries[0].index - base - 1
+                assert position <= len(self.entries), 'gap in the journal'
+                self.entries[position:] = new_entries
         elif isinstance(effect, consensus.SaveSnapshot):
             snapshot = effect.snapshot
             keep = [e for e in self.entries if e.index > snapshot.index]
@@ -57,32 +57,33 @@
 
 
 class World:
-    """Controllers by id, the messages between them, and a history."""
+    """Controllers by id, their network, and a history of commits."""
 
     def __init__(self, names, seed, sync_s=0.001, voters=None):
         self.rng = random.Random(seed)
         self.now_s = 0.0
         self.sync_s = sync_s
-        self.slow_disks = {}  # name -> its own time of a sync
+        self.slow_disks = {}  # name -> duration of its syncs
         voters = voters if voters is not None else names
         self.config = entries.Config({n: 'a' for n in voters}, {})
         self.disks = {n: Disk(self.config) for n in names}
         self.nodes = {}
         self.applied = {n: [] for n in names}  # payloads in order
         self.paused = set()
-        self.cut = set()  # (from, to) pairs
+        self.cut = set()  # blocked links, as (from, to) pairs
         self.drop = self.duplicate = self.reorder = 0.0
         self.queue = []
-        self.pending = {}  # effects not yet carried out, in order
+        self.pending_effects = {}  # effects not yet executed, in order
         self.count = 0
         self.generation = {n: 0 for n in names}
         self.committed = {}  # index -> (term, payload) as first applied
-        self.acked = []  # payloads whose proposer heard of the commit
-        self.waiting = {}  # (node, generation, index) -> (term, payload)
-        self.pending_reads = {}  # read id -> (asked, highest acked count)
+        self.acked = []  # payloads whose commit was reported to the client
+        #: (node, generation, index) -> (term, payload)
+        self.pending_proposals = {}
+        self.pending_reads = {}  # read id -> (node, acked count at request)
         self.read_results = []
         self.leaders = {}  # term -> id
-        self.faults = set()
+        self.violations = set()
         for name in names:
             self.start(name)
 
@@ -102,28 +103,28 @@
         node.snapshot = disk.snapshot
         self.nodes[name] = node
         self.generation[name] += 1
-        self.pending[name] = collections.deque()
+        self.pending_effects[name] = collections.deque()
         self.applied[name] = _unpack(disk.snapshot.data)
         self.paused.discard(name)
-        self.at(TICK_S, 'tick', name, self.generation[name])
+        self.schedule(TICK_S, 'tick', name, self.generation[name])
 
     def kill(self, name):
-        """End a process; what was not synced is gone."""
+        """End a process; what was not synced is lost."""
         self.nodes.pop(name, None)
         self.generation[name] += 1
 
-    def lose_disk(self, name, fresh):
-        """A box comes back with an empty disk, under a new identity."""
+    def replace_box(self, name, new_name):
+        """Restart a box with an empty disk, under a new identity."""
         self.kill(name)
-        self.add(fresh)
+        self.add(new_name)
 
-    def add(self, fresh):
-        self.disks[fresh] = Disk(entries.Config({}, {}))
-        self.applied[fresh] = []
-        self.generation[fresh] = 0
-        self.start(fresh)
+    def add(self, new_name):
+        self.disks[new_name] = Disk(entries.Config({}, {}))
+        self.applied[new_name] = []
+        self.generation[new_name] = 0
+        self.start(new_name)
 
-    def at(self, delay_s, kind, *args):
+    def schedule(self, delay_s, kind, *args):
         self.count += 1
         heapq.heappush(
             self.queue, (self.now_s + delay_s, self.count, kind, args)
@@ -144,13 +145,13 @@
             self.run(0.01)
         return False
 
-    def live(self, name, generation):
+    def is_running(self, name, generation):
         return self.generation[name] == generation and name in self.nodes
 
     def on_tick(self, name, generation):
-        if not self.live(name, generation):
+        if not self.is_running(name, generation):
             return
-        self.at(TICK_S, 'tick', name, generation)
+        self.schedule(TICK_S, 'tick', name, generation)
         if name not in self.paused:
             self.step(name, consensus.Tick())
 
@@ -158,32 +159,34 @@
         if to not in self.nodes or (sender, to) in self.cut:
             return
         if to in self.paused:
-            # A frozen process gets it when it thaws.
-            self.at(0.05, 'deliver', sender, to, message)
+            # Delivered once the process resumes.
+            self.schedule(0.05, 'deliver', sender, to, message)
             return
         self.step(to, consensus.Received(sender, message))
 
     def on_synced(self, name, generation):
-        if not self.live(name, generation):
+        if not self.is_running(name, generation):
             return
         if name in self.paused:
-            self.at(0.05, 'synced', name, generation)
+            self.schedule(0.05, 'synced', name, generation)
             return
-        # In the order of the steps, also where a freeze delayed some.
-        effects = self.pending[name].popleft()
+        # In the order of the steps, even if a pause delayed some.
+        effects = self.pending_effects[name].popleft()
         for effect in effects:
             if isinstance(effect, SAVES):
                 self.disks[name].save(effect)
         for effect in effects:
-            self.carry_out(name, effect)
-        fresh = [
+            self.execute_effect(name, effect)
+        new_entries = [
             e
             for effect in effects
             if isinstance(effect, consensus.SaveEntries)
             for e in effect.entries
         ]
-        if fresh:
-            event = consensus.Synced(fresh[-1].index, fresh[-1].term)
+        if new_entries:
+            event = consensus.Synced(
+                new_entries[-1].index, new_entries[-1].term
+            )
             self.step(name, event)
 
     def step(self, name, event):
@@ -199,9 +202,9 @@
                 self.now_s + delay_s, getattr(self.nodes[name], 'due_s', 0)
             )
             self.nodes[name].due_s = due_s
-            self.pending[name].append(effects)
+            self.pending_effects[name].append(effects)
             generation = self.generation[name]
-            self.at(due_s - self.now_s, 'synced', name, generation)
+            self.schedule(due_s - self.now_s, 'synced', name, generation)
         return effects
 
     def send(self, name, effect):
@@ -212,9 +215,9 @@
             delay_s = self.rng.uniform(*DELAY_S)
             if self.rng.random() < self.reorder:
                 delay_s += self.rng.uniform(0, 0.4)
-            self.at(delay_s, 'deliver', name, effect.to, effect.message)
+            self.schedule(delay_s, 'deliver', name, effect.to, effect.message)
 
-    def carry_out(self, name, effect):
+    def execute_effect(self, name, effect):
         if isinstance(effect, consensus.Send) and not effect.before_sync:
             self.send(name, effect)
         elif isinstance(effect, consensus.Apply):
@@ -227,26 +230,26 @@
             if effect.role == consensus.LEADER:
                 other = self.leaders.setdefault(effect.term, name)
                 if other != name:
-                    self.faults.add(f'two leaders in term {effect.term}')
+                    self.violations.add(f'two leaders in term {effect.term}')
         elif isinstance(effect, consensus.ReadReady):
-            self.read_done(effect)
+            self.record_read(effect)
 
     def apply(self, name, entry):
         what = (entry.term, entry.payload)
         known = self.committed.setdefault(entry.index, what)
         if known != what:
-            self.faults.add(f'{name} applied another entry {entry.index}')
+            self.violations.add(f'{name} applied another entry {entry.index}')
         if entry.kind == entries.COMMAND:
             self.applied[name].append(entry.payload)
         key = (name, self.generation[name], entry.index)
-        waiting = self.waiting.pop(key, None)
+        waiting = self.pending_proposals.pop(key, None)
         if waiting == what:
             self.acked.append(entry.payload)
 
-    # What clients do.
+    # Actions of clients and operators.
 
     def leader(self):
-        """Return the live leader of the latest term, or None."""
+        """Return the running leader of the latest term, or None."""
         found = [
             (node.term, name)
             for name, node in self.nodes.items()
@@ -271,7 +274,7 @@
         except errors.NotLeader:
             return False
         key = (name, self.generation[name], index)
-        self.waiting[key] = (node.term, payload)
+        self.pending_proposals[key] = (node.term, payload)
         return True
 
     def read(self, name):
@@ -283,14 +286,14 @@
         except errors.NotLeader:
             del self.pending_reads[read_id]
 
-    def read_done(self, effect):
+    def record_read(self, effect):
         name, acked = self.pending_reads.pop(effect.read_id, (None, 0))
         if not effect.ok or name is None:
             return
         seen = set(self.applied[name])
         missing = [p for p in self.acked[:acked] if p not in seen]
         if missing:
-            self.faults.add(f'a read at {name} missed {missing[0]}')
+            self.violations.add(f'a read at {name} missed {missing[0]}')
         self.read_results.append(name)
 
     def compact(self, name, keep=5):
@@ -298,8 +301,8 @@
         data = _pack(self.applied[name])
         self.step(name, consensus.Compact(node.commit_index, data, keep))
 
-    def change(self, voters, learners=()):
-        """Change the controllers through the leader."""
+    def change_config(self, voters, learners=()):
+        """Commit a change of the configuration through the leader."""
         leader = self.wait_leader()
         config = entries.Config(
             {v: 'a' for v in voters}, {x: 'a' for x in learners}
@@ -320,19 +323,19 @@
                 if both:
                     self.cut.add((other, name))
 
-    # What must hold.
+    # Invariants.
 
     def check(self, settled=False):
-        """Assert that nothing acknowledged is lost and all logs agree.
+        """Assert that no acknowledged command is lost and all logs agree.
 
-        Once ``settled``, each acknowledged command must be applied; before
-        that a restarted controller may not have heard yet what is committed.
+        If ``settled``, each acknowledged command must be applied; before that
+        a restarted controller may not know yet which entries are committed.
         """
-        assert not self.faults, sorted(self.faults)
+        assert not self.violations, sorted(self.violations)
         leases = [
             name
             for name, node in self.nodes.items()
-            if name not in self.paused and consensus_lease(node, self.now_s)
+            if name not in self.paused and holds_lease(node, self.now_s)
         ]
         assert len(leases) <= 1, f'two leases: {leases}'
         longest = max(self.applied.values(), key=len)
@@ -353,8 +356,8 @@
 )
 
 
-def consensus_lease(node, now_s):
-    """Return whether a node may answer as the leader."""
+def holds_lease(node, now_s):
+    """Return whether a node may act as the leader."""
     from mountridge.consensus import replication
 
     return replication.lease_valid(node, now_s)
