--- a/features/consensus.feature
+++ b/features/consensus.feature
@@ -1,89 +1,89 @@
-Feature: One log over three or five controllers, under faults
+Feature: A replicated log on three or five controllers, under faults
 
-  Scenario Outline: <count> controllers commit through <fault> at <moment>
+  Scenario Outline: <count> controllers recover from <fault> <moment>
     Given <count> controllers
     When commands are committed
     And the leader suffers <fault> <moment>
-    And commands are offered for 5 s
+    And commands are proposed for 5 s
     And the faults end
-    Then all that was acknowledged is there, on all controllers, once
-    And a read confirmed by a quorum sees it
+    Then all acknowledged commands are applied once, on all controllers
+    And a read confirmed by a quorum returns them
 
     Examples:
       | count | fault                | moment                |
-      | 3     | a kill               | before it sends       |
-      | 3     | a kill               | after it sent         |
-      | 3     | a kill               | after a follower has it |
-      | 3     | a kill               | after it acknowledged |
-      | 5     | a kill               | after it sent         |
-      | 5     | a kill               | after it acknowledged |
-      | 3     | a restart            | before it sends       |
-      | 3     | a restart            | after it sent         |
-      | 3     | a restart            | after a follower has it |
-      | 3     | a restart            | after it acknowledged |
-      | 3     | a freeze and thaw    | before it sends       |
-      | 3     | a freeze and thaw    | after it sent         |
-      | 3     | a freeze and thaw    | after it acknowledged |
-      | 5     | a freeze and thaw    | after it sent         |
-      | 3     | a cut both ways      | before it sends       |
-      | 3     | a cut both ways      | after it sent         |
-      | 3     | a cut both ways      | after it acknowledged |
-      | 5     | a cut both ways      | after it sent         |
-      | 3     | a cut of its sends   | after it sent         |
-      | 3     | a cut of its hearing | after it sent         |
-      | 5     | a cut of its hearing | after it acknowledged |
-      | 3     | lost messages        | before it sends       |
-      | 5     | lost messages        | after it sent         |
-      | 3     | doubled messages     | after it sent         |
-      | 5     | doubled messages     | before it sends       |
-      | 3     | late, crossed ones   | after it sent         |
-      | 5     | late, crossed ones   | after it acknowledged |
-      | 3     | a slow disk          | after it sent         |
-
-  Scenario: A leader just elected stays in charge until it can be heard
+      | 3     | a crash              | before the entry is sent |
+      | 3     | a crash              | after the entry is sent |
+      | 3     | a crash              | after a follower has the entry |
+      | 3     | a crash              | after the entry is acknowledged |
+      | 5     | a crash              | after the entry is sent |
+      | 5     | a crash              | after the entry is acknowledged |
+      | 3     | a restart            | before the entry is sent |
+      | 3     | a restart            | after the entry is sent |
+      | 3     | a restart            | after a follower has the entry |
+      | 3     | a restart            | after the entry is acknowledged |
+      | 3     | a pause              | before the entry is sent |
+      | 3     | a pause              | after the entry is sent |
+      | 3     | a pause              | after the entry is acknowledged |
+      | 5     | a pause              | after the entry is sent |
+      | 3     | a partition          | before the entry is sent |
+      | 3     | a partition          | after the entry is sent |
+      | 3     | a partition          | after the entry is acknowledged |
+      | 5     | a partition          | after the entry is sent |
+      | 3     | lost outgoing links  | after the entry is sent |
+      | 3     | lost incoming links  | after the entry is sent |
+      | 5     | lost incoming links  | after the entry is acknowledged |
+      | 3     | message loss         | before the entry is sent |
+      | 5     | message loss         | after the entry is sent |
+      | 3     | duplicated messages  | after the entry is sent |
+      | 5     | duplicated messages  | before the entry is sent |
+      | 3     | reordered messages   | after the entry is sent |
+      | 5     | reordered messages   | after the entry is acknowledged |
+      | 3     | a slow disk          | after the entry is sent |
+
+  Scenario: A new leader does not step down before its first replies arrive
     Given 3 controllers
     When the first leader is elected
-    Then it leads still, in the same term, 5 s later
+    Then it still leads in the same term 5 s later
 
-  Scenario: A leader cut off in silence stops deciding before another starts
+  Scenario: A partitioned leader loses its lease before a new leader has one
     Given 3 controllers
     When commands are committed
-    And the leader is cut off while its clients go on
-    Then at no moment do two controllers hold the leader's lease
-    And nothing is acknowledged by the one that was cut off
+    And the leader is partitioned while clients propose commands to it
+    Then two controllers never hold the leader's lease at the same time
+    And the partitioned leader acknowledges nothing
 
-  Scenario: A leader that was frozen holds no lease from its first moment
+  Scenario: A paused leader holds no lease when it resumes
     Given 3 controllers
     When commands are committed
-    And the leader is frozen until another one leads, and thaws
-    Then it holds no lease before it has heard of the other
+    And the leader is paused until another one leads, and resumes
+    Then it holds no lease before it receives a message
 
-  Scenario Outline: A vote is not given to <candidate>
+  Scenario Outline: No vote is granted to <candidate>
     Given 3 controllers
     When commands are committed
     Then a follower does not vote for <candidate>
 
     Examples:
-      | candidate                                  |
-      | one who asks while the leader is heard     |
-      | one who asks just after the follower began |
-      | one with a shorter log                     |
-      | a second one in the same term              |
+      | candidate                                    |
+      | a candidate while there is a leader          |
+      | a candidate just after the follower restarts |
+      | a candidate with a shorter log               |
+      | a second candidate in the same term          |
 
-  Scenario: A read waits for a quorum that answers after it was asked
+  Scenario: A read is confirmed only by replies to messages sent after it
     Given 3 controllers
     When commands are committed
-    And the leader is cut off and a read is asked of it
+    And the leader is partitioned and a read is requested from it
     Then the read is never confirmed
 
-  Scenario: A leader commits nothing of earlier terms by counting copies
+  Scenario: A leader does not commit entries of earlier terms by their copies
     Given 3 controllers
     Then an entry of an earlier term on a quorum is not yet committed
 
-  Scenario: What is not synced does not count
+  Scenario: Entries that are not synced do not count for the quorum
     Given 3 controllers
     When commands are committed
-    And all disks become slow and a command is offered
+    And all disks become slow and a command is proposed
     Then it is not acknowledged before a quorum has synced it
 
   Scenario: A leader does not count its own copy before it is synced
@@ -92,52 +92,52 @@
     And a follower is lost and the leader's disk becomes slow
     Then a command is not acknowledged before the leader has synced it
 
-  Scenario: A controller that was away for hundreds of changes catches up
+  Scenario: A controller that missed hundreds of changes catches up
     Given 3 controllers
     When commands are committed
     And a follower is down for 400 changes and snapshots
-    Then all that was acknowledged is there, on all controllers, once
+    Then all acknowledged commands are applied once, on all controllers
 
-  Scenario: A second box is lost right after the first repair
+  Scenario: A second box is lost right after the first is replaced
     Given 3 controllers
     When commands are committed
     And a follower loses its disk and is replaced by "c9"
-    And another follower loses its disk at once
-    And commands are offered for 5 s
-    Then all that was acknowledged is there, on all controllers, once
+    And another follower loses its disk immediately
+    And commands are proposed for 5 s
+    Then all acknowledged commands are applied once, on all controllers
 
-  Scenario: A box with an empty disk does not vote under its old name
+  Scenario: A box with an empty disk does not vote under its former identity
     Given 3 controllers
     When commands are committed
-    And a follower comes back with an empty disk and the leader is lost
+    And a follower restarts with an empty disk and the leader is lost
     Then no leader is elected in 5 s
 
-  Scenario Outline: What operators may not do is refused: <change>
+  Scenario Outline: A forbidden change is refused: <change>
     Given 3 controllers
     When commands are committed
     Then "<change>" is refused because "<reason>"
 
     Examples:
-      | change                          | reason                   |
-      | two voters at once              | one voter at a time      |
-      | a voter that was never a learner| is not a learner         |
-      | a learner that has heard nothing| has not replied recently |
-      | a learner far behind            | entries behind           |
-      | a change during a change        | not yet committed        |
+      | change                              | reason                   |
+      | two voters at once                  | one voter at a time      |
+      | a voter that was never a learner    | is not a learner         |
+      | a learner that has received nothing | has not replied recently |
+      | a learner far behind                | entries behind           |
+      | a change during a change            | not yet committed        |
 
-  Scenario: Leadership is handed over on a planned stop with no pause
+  Scenario: A leadership transfer on a planned stop has no gap
     Given 3 controllers
     When commands are committed
-    And the leader hands over
+    And the leader transfers its leadership
     Then another one leads within 0.2 s
-    And the old one holds no lease from the moment it began
+    And the former leader holds no lease from the start of the transfer
 
-  Scenario Outline: After a start of all <count> the next leader is there soon
+  Scenario Outline: After a restart of all <count> a leader is elected soon
     Given <count> controllers
     When commands are committed
-    And all controllers are killed and start again over 0.1 s
+    And all controllers are killed and restart over 0.1 s
     Then one leads within 0.2 s of the last start
-    And all that was acknowledged is there, on all controllers, once
+    And all acknowledged commands are applied once, on all controllers
 
     Examples:
       | count |
@@ -145,40 +145,40 @@
       | 3     |
       | 5     |
 
-  Scenario: A voter that starts anew waits where the leader can't be asked
+  Scenario: A restarted voter waits if it cannot query the leader
     Given 3 controllers
     When commands are committed
-    And the leader is cut off, and one of its followers starts anew
-    Then at no moment do two controllers hold the leader's lease
+    And the leader is partitioned, and one of its followers restarts
+    Then two controllers never hold the leader's lease at the same time
 
-  Scenario Outline: A voter that starts anew gives no vote before <event>
+  Scenario Outline: A restarted voter grants no vote before <event>
     Given 3 controllers
     When commands are committed
-    And all controllers are killed and one starts again
-    Then it gives no vote before <event>
+    And all controllers are killed and one restarts
+    Then it grants no vote before <event>
 
     Examples:
-      | event                                                         |
-      | the last leader has said that it does not lead                |
-      | the last leader has said so to this start, not an earlier one |
-      | silence tells it, where its log ends in an earlier term       |
-      | all voters have said so, where a snapshot hides who led       |
+      | event                                                             |
+      | the last leader has denied that it leads                          |
+      | the last leader has denied it to this start, not to an earlier one |
+      | the election timeout, if its log ends in an earlier term          |
+      | all voters have denied it, if the leader's entry is compacted     |
 
-  Scenario: A leader never says that it does not lead
+  Scenario: A leader never denies that it leads
     Given 3 controllers
     When commands are committed
-    Then the leader does not answer one that has just started
+    Then the leader does not reply to a restarted controller
 
-  Scenario Outline: A box that has lost its disk speaks for <whom>
-    Given a replica on box "c1" with a fresh identity
-    When one that has started anew asks "<asked>" at its address
-    Then the answer is <answer>
+  Scenario Outline: A box that has lost its disk replies for <identity>
+    Given a replica on box "c1" with a new identity
+    When a restarted controller queries "<target>" at its address
+    Then the reply is <reply>
 
     Examples:
-      | whom                       | asked  | answer                  |
-      | its former identity        | c1.old | that this does not lead |
-      | no other box's identity    | c2.old | none                    |
+      | identity                   | target | reply                     |
+      | its former identity        | c1.old | that it is not the leader |
+      | no other box's identity    | c2.old | none                      |
 
-  Scenario: Random schedules keep the log whole
+  Scenario: Random schedules of faults keep the log consistent
     Given 40 random schedules of faults over 3 and 5 controllers
-    Then in each of them nothing acknowledged is lost, doubled or reordered
+    Then no acknowledged command is lost, duplicated or reordered
--- a/features/steps/consensus_steps.py
+++ b/features/steps/consensus_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on the consensus core under a scripted network."""
+"""Steps for the consensus core on a simulated network."""
 
 import tempfile
 import types
@@ -14,10 +14,10 @@
 from mountridge import errors, messages, metrics
 
 MOMENTS = {
-    'before it sends': 'before',
-    'after it sent': 'sent',
-    'after a follower has it': 'held',
-    'after it acknowledged': 'acknowledged',
+    'before the entry is sent': 'before',
+    'after the entry is sent': 'sent',
+    'after a follower has the entry': 'held',
+    'after the entry is acknowledged': 'acknowledged',
 }
 
 
@@ -47,7 +47,7 @@
 
 
 def _reach(context, leader, moment):
-    """Offer a command and go on to the moment of the fault."""
+    """Propose a command and run until the moment of the fault."""
     world = context.world
     if moment == 'before':
         world.isolate(leader)
@@ -66,25 +66,25 @@
 
 
 def _strike(world, leader, fault):
-    if fault == 'a kill':
+    if fault == 'a crash':
         world.kill(leader)
     elif fault == 'a restart':
         world.kill(leader)
         world.start(leader)
-    elif fault == 'a freeze and thaw':
+    elif fault == 'a pause':
         world.paused.add(leader)
-    elif fault == 'a cut both ways':
+    elif fault == 'a partition':
         world.isolate(leader)
-    elif fault == 'a cut of its sends':
+    elif fault == 'lost outgoing links':
         world.isolate(leader, both=False)
-    elif fault == 'a cut of its hearing':
+    elif fault == 'lost incoming links':
         others = [n for n in world.disks if n != leader]
         world.cut.update((other, leader) for other in others)
-    elif fault == 'lost messages':
+    elif fault == 'message loss':
         world.drop = 0.2
-    elif fault == 'doubled messages':
+    elif fault == 'duplicated messages':
         world.duplicate = 0.5
-    elif fault == 'late, crossed ones':
+    elif fault == 'reordered messages':
         world.reorder = 0.5
     elif fault == 'a slow disk':
         world.sync_s = 0.08
@@ -106,7 +106,7 @@
     _strike(world, context.victim, fault)
 
 
-@when('commands are offered for {seconds:d} s')
+@when('commands are proposed for {seconds:d} s')
 def offer_for(context, seconds):
     world = context.world
     before = len(world.acked)
@@ -116,7 +116,9 @@
             world.compact(world.leader())
         world.run(0.05)
         world.check()
-    assert len(world.acked) > before + 10, 'the rest did not go on'
+    assert (
+        len(world.acked) > before + 10
+    ), 'the other controllers commit nothing'
 
 
 @when('the faults end')
@@ -132,7 +134,7 @@
     world.run(3)
 
 
-@then('all that was acknowledged is there, on all controllers, once')
+@then('all acknowledged commands are applied once, on all controllers')
 def check_all(context):
     world = context.world
     world.wait_leader()
@@ -144,7 +146,7 @@
     assert world.acked
 
 
-@then('a read confirmed by a quorum sees it')
+@then('a read confirmed by a quorum returns them')
 def check_read(context):
     world = context.world
     leader = world.wait_leader()
@@ -158,7 +160,7 @@
     context.victim = context.world.wait_leader()
 
 
-@then('it leads still, in the same term, 5 s later')
+@then('it still leads in the same term 5 s later')
 def leads_still(context):
     world = context.world
     term = world.nodes[context.victim].term
@@ -167,7 +169,7 @@
     assert world.nodes[context.victim].term == term
 
 
-@when('the leader is cut off while its clients go on')
+@when('the leader is partitioned while clients propose commands to it')
 def cut_off(context):
     world = context.world
     context.victim = world.wait_leader()
@@ -190,23 +192,23 @@
         context.held = getattr(context, 'held', []) + [held]
 
 
-@then("at no moment do two controllers hold the leader's lease")
+@then("two controllers never hold the leader's lease at the same time")
 def one_lease(context):
     assert all(len(held) <= 1 for held in context.held)
     holders = {name for held in context.held for name in held}
     assert len(holders) == 2, holders
 
 
-@then('nothing is acknowledged by the one that was cut off')
+@then('the partitioned leader acknowledges nothing')
 def none_acked(context):
     world = context.world
-    assert context.own, 'it was offered nothing'
+    assert context.own, 'no command was proposed to it'
     assert not set(context.own) & set(world.acked)
     assert len(world.acked) > len(context.before)
     world.check()
 
 
-@when('the leader is frozen until another one leads, and thaws')
+@when('the leader is paused until another one leads, and resumes')
 def freeze_until(context):
     world = context.world
     context.victim = world.wait_leader()
@@ -216,7 +218,7 @@
     )
 
 
-@then('it holds no lease before it has heard of the other')
+@then('it holds no lease before it receives a message')
 def no_lease_at_thaw(context):
     node = context.world.nodes[context.victim]
     assert node.role == consensus.LEADER
@@ -224,7 +226,7 @@
 
 
 def _ask(world, follower, term, index, last_term):
-    """Return the vote that a follower gives to such a candidate."""
+    """Return whether a follower votes for a candidate with such a log."""
     message = consensus.RequestVote(term, False, index, last_term, False)
     effects = consensus.step(
         world.nodes[follower],
@@ -244,22 +246,24 @@
     node = world.nodes[follower]
     last = (node.log.last_index, node.log.last_term)
     term = node.term + 1
-    if candidate.startswith('one who asks just'):
+    if candidate.startswith('a candidate just'):
         world.kill(leader)
         world.kill(follower)
         world.run(1)
         world.start(follower)
         assert not _ask(world, follower, term, *last)
         return
-    if candidate.startswith('one who asks while'):
+    if candidate.startswith('a candidate while'):
         assert not _ask(world, follower, term, *last)
         world.isolate(follower)
         world.run(0.6)
-        assert _ask(world, follower, term, *last), 'nor when it is silent'
+        assert _ask(
+            world, follower, term, *last
+        ), 'no vote without a leader either'
         return
     world.isolate(follower)
     world.run(0.6)
-    if candidate.startswith('one with'):
+    if candidate.startswith('a candidate with'):
         assert not _ask(world, follower, term, last[0] - 1, last[1])
         return
     assert _ask(world, follower, term, *last)
@@ -267,7 +271,7 @@
     assert not _ask(world, follower, term, *last)
 
 
-@when('the leader is cut off and a read is asked of it')
+@when('the leader is partitioned and a read is requested from it')
 def read_cut_off(context):
     world = context.world
     context.victim = world.wait_leader()
@@ -293,7 +297,7 @@
         node.term, node.log.last_index + 1, entries.COMMAND, b'old'
     )
     node.log.append([old])
-    # A later term begins to lead with that entry in its log.
+    # The leader of a later term has that entry in its log.
     node.term += 1
     node.synced_index = old.index
     for peer in node.peers.values():
@@ -304,7 +308,7 @@
     assert node.commit_index == commit and not effects, effects
 
 
-@when('all disks become slow and a command is offered')
+@when('all disks become slow and a command is proposed')
 def slow_disks(context):
     world = context.world
     world.run(0.5)
@@ -393,7 +397,7 @@
     context.fresh = fresh
 
 
-@when('another follower loses its disk at once')
+@when('another follower loses its disk immediately')
 def lose_another(context):
     world = context.world
     leader = world.wait_leader()
@@ -402,7 +406,7 @@
     del world.disks[lost]
 
 
-@when('a follower comes back with an empty disk and the leader is lost')
+@when('a follower restarts with an empty disk and the leader is lost')
 def empty_and_lost(context):
     world = context.world
     leader = world.wait_leader()
@@ -436,7 +440,7 @@
             world.run(0.005)
         world.change_config(voters, ['c9'])
         peer = world.nodes[leader].peers['c9']
-        # Its newest answer is fresh, but its copy is old.
+        # It has replied recently, but its log is far behind.
         peer.acked_sent_s, peer.match_index = world.now_s, 3
         wanted = voters + ['c9']
     elif change.startswith('a learner'):
@@ -455,7 +459,7 @@
         raise AssertionError('it was not refused')
 
 
-@when('the leader hands over')
+@when('the leader transfers its leadership')
 def transfer_leadership(context):
     world = context.world
     context.victim = world.wait_leader()
@@ -472,7 +476,7 @@
     )
 
 
-@then('the old one holds no lease from the moment it began')
+@then('the former leader holds no lease from the start of the transfer')
 def no_lease(context):
     world = context.world
     world.run(1)
@@ -524,7 +528,7 @@
 
 
 def run_schedule(count, seed, schedule):
-    """Run a schedule, then heal all and check that the log goes on."""
+    """Run a schedule, end all faults, and check that commands commit."""
     world = World([f'c{n + 1}' for n in range(count)], seed)
     for number, (action, pick, wait_s) in enumerate(schedule):
         _act(world, action, pick, number)
@@ -563,7 +567,7 @@
     context.runs = count
 
 
-@then('in each of them nothing acknowledged is lost, doubled or reordered')
+@then('no acknowledged command is lost, duplicated or reordered')
 def check_schedules(context):
     @settings(
         max_examples=context.runs,
@@ -584,7 +588,7 @@
     check()
 
 
-@when('all controllers are killed and start again over {span_s:f} s')
+@when('all controllers are killed and restart over {span_s:f} s')
 def restart_all(context, span_s):
     world = context.world
     names = list(world.nodes)
@@ -599,11 +603,11 @@
 @then('one leads within {limit_s:f} s of the last start')
 def leads_soon(context, limit_s):
     world = context.world
-    assert world.run_until(world.leader, limit_s), 'nobody leads'
+    assert world.run_until(world.leader, limit_s), 'no leader'
     world.wait_leader()
 
 
-@when('the leader is cut off, and one of its followers starts anew')
+@when('the leader is partitioned, and one of its followers restarts')
 def cut_and_restart(context):
     world = context.world
     context.victim = world.wait_leader()
@@ -622,7 +626,7 @@
         context.held.append(held)
 
 
-@when('all controllers are killed and one starts again')
+@when('all controllers are killed and one restarts')
 def restart_one(context):
     world = context.world
     context.victim = world.wait_leader()
@@ -646,7 +650,7 @@
 
 
 def _start_again(context, term=0):
-    """Start the voter again, with a later term on its disk; its number."""
+    """Restart the voter with ``term`` added on its disk; its start id."""
     world = context.world
     world.kill(context.voter)
     world.disks[context.voter].term += term
@@ -654,7 +658,7 @@
     return world.nodes[context.voter].start_id
 
 
-@then('it gives no vote before the last leader has said that it does not lead')
+@then('it grants no vote before the last leader has denied that it leads')
 def no_vote_before_leader(context):
     world, voter = context.world, context.voter
     start_id = world.nodes[voter].start_id
@@ -666,8 +670,8 @@
 
 
 @then(
-    'it gives no vote before the last leader has said so to this start,'
-    ' not an earlier one'
+    'it grants no vote before the last leader has denied it to this start,'
+    ' not to an earlier one'
 )
 def no_vote_for_earlier(context):
     world, voter = context.world, context.voter
@@ -678,7 +682,7 @@
 
 
 @then(
-    'it gives no vote before silence tells it, where its log ends in an'
+    'it grants no vote before the election timeout, if its log ends in an'
     ' earlier term'
 )
 def no_vote_in_later_term(context):
@@ -692,8 +696,8 @@
 
 
 @then(
-    'it gives no vote before all voters have said so, where a snapshot hides'
-    ' who led'
+    "it grants no vote before all voters have denied it, if the leader's"
+    ' entry is compacted'
 )
 def no_vote_after_snapshot(context):
     world, voter = context.world, context.voter
@@ -710,7 +714,7 @@
     assert _votes(world, voter)
 
 
-@then('the leader does not answer one that has just started')
+@then('the leader does not reply to a restarted controller')
 def leader_is_silent(context):
     world = context.world
     event = consensus.Received('c9', consensus.LeaderQuery(7))
@@ -721,7 +725,7 @@
     assert [effect.message for effect in told] == [consensus.NotLeading(7)]
 
 
-@given('a replica on box "{name}" with a fresh identity')
+@given('a replica on box "{name}" with a new identity')
 def fresh_replica(context, name):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
@@ -754,15 +758,15 @@
     context.replica = replicas.Replica(app, None, lambda role: None)
 
 
-@when('one that has started anew asks "{asked}" at its address')
-def ask_former(context, asked):
+@when('a restarted controller queries "{target}" at its address')
+def query_former(context, target):
     body = replicas.pack_message(consensus.LeaderQuery(7))
-    message = messages.Raft('c3.x', asked, body, 'tcp://10.0.0.3:1')
+    message = messages.Raft('c3.x', target, body, 'tcp://10.0.0.3:1')
     peer = types.SimpleNamespace(name='')
     context.replica.on_raft(peer, message)
 
 
-@then('the answer is that this does not lead')
+@then('the reply is that it is not the leader')
 def former_answered(context):
     (told,) = context.sent
     assert (told.sender, told.to) == ('c1.old', 'c3.x'), told
@@ -770,6 +774,6 @@
     assert answer == consensus.NotLeading(7), answer
 
 
-@then('the answer is none')
+@then('the reply is none')
 def former_silent(context):
     assert not context.sent
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -80,7 +80,7 @@
     Mutant(
         'a box speaks for the identities of others', 'replicas',
         "message.to.partition('.')[0] == self.app.name", 'True', 'consensus',
-        'speaks for',
+        'replies for',
     ),
     Mutant(
         'votes for a shorter log', 'elections',
@@ -120,7 +120,7 @@
     Mutant(
         'the lease goes on during a hand-over', 'replication',
         'if node.role != LEADER or node.transfer_target:',
-        'if node.role != LEADER:', 'consensus', 'handed',
+        'if node.role != LEADER:', 'consensus', 'transfer',
     ),
     Mutant(
         'the lease does not end', 'replication',
