--- a/features/steps/consensus_steps.py
+++ b/features/steps/consensus_steps.py
@@ -28,7 +28,7 @@
     context.number = 0
 
 
-def _offer(context, name=None):
+def _propose(context, name=None):
     world = context.world
     name = name or world.leader()
     context.number += 1
@@ -41,22 +41,22 @@
     world = context.world
     world.wait_leader()
     for _ in range(10):
-        assert _offer(context)
+        assert _propose(context)
         world.run(0.02)
     assert world.run_until(lambda: len(world.acked) == 10)
 
 
-def _reach(context, leader, moment):
+def _run_to_moment(context, leader, moment):
     """Propose a command and run until the moment of the fault."""
     world = context.world
     if moment == 'before':
         world.isolate(leader)
-        _offer(context, leader)
+        _propose(context, leader)
         world.run(0.0005)
         world.cut.clear()
         return
     before = len(world.acked)
-    _offer(context, leader)
+    _propose(context, leader)
     if moment == 'sent':
         return
     if moment == 'held':
@@ -65,7 +65,7 @@
     assert world.run_until(lambda: len(world.acked) > before)
 
 
-def _strike(world, leader, fault):
+def _inject_fault(world, leader, fault):
     if fault == 'a crash':
         world.kill(leader)
     elif fault == 'a restart':
@@ -93,7 +93,7 @@
 
 
 @when('the leader suffers {fault} {moment}')
-def suffer(context, fault, moment):
+def inject_fault(context, fault, moment):
     for text, key in MOMENTS.items():
         if f'{fault} {moment}'.endswith(text):
             fault = f'{fault} {moment}'[: -len(text) - 1]
@@ -101,17 +101,17 @@
     else:
         raise AssertionError(f'unknown moment {moment}')
     world = context.world
-    context.victim = world.wait_leader()
-    _reach(context, context.victim, key)
-    _strike(world, context.victim, fault)
+    context.old_leader = world.wait_leader()
+    _run_to_moment(context, context.old_leader, key)
+    _inject_fault(world, context.old_leader, fault)
 
 
 @when('commands are proposed for {seconds:d} s')
-def offer_for(context, seconds):
+def propose_for(context, seconds):
     world = context.world
     before = len(world.acked)
     for _ in range(seconds * 20):
-        _offer(context)
+        _propose(context)
         if context.number % 10 == 0 and world.leader():
             world.compact(world.leader())
         world.run(0.05)
@@ -138,7 +138,7 @@
 def check_all(context):
     world = context.world
     world.wait_leader()
-    _offer(context)
+    _propose(context)
     world.run(3)
     world.check(settled=True)
     lengths = {len(world.applied[name]) for name in world.nodes}
@@ -157,50 +157,52 @@
 
 @when('the first leader is elected')
 def first_leader(context):
-    context.victim = context.world.wait_leader()
+    context.old_leader = context.world.wait_leader()
 
 
 @then('it still leads in the same term 5 s later')
 def leads_still(context):
     world = context.world
-    term = world.nodes[context.victim].term
+    term = world.nodes[context.old_leader].term
     world.run(5)
-    assert world.leader() == context.victim
-    assert world.nodes[context.victim].term == term
+    assert world.leader() == context.old_leader
+    assert world.nodes[context.old_leader].term == term
 
 
 @when('the leader is partitioned while clients propose commands to it')
-def cut_off(context):
+def partition_leader(context):
     world = context.world
-    context.victim = world.wait_leader()
-    world.isolate(context.victim)
+    context.old_leader = world.wait_leader()
+    world.isolate(context.old_leader)
     context.cut_s = world.now_s
     context.before = list(world.acked)
     context.own = []
     for _ in range(150):
-        if _offer(context, context.victim):
+        if _propose(context, context.old_leader):
             context.own.append(b'%d' % context.number)
         other = world.leader()
-        if other and other != context.victim:
-            _offer(context, other)
+        if other and other != context.old_leader:
+            _propose(context, other)
         world.run(0.02)
-        held = [
+        holders = [
             name
             for name, node in world.nodes.items()
             if holds_lease(node, world.now_s)
         ]
-        context.held = getattr(context, 'held', []) + [held]
+        context.lease_holders = getattr(context, 'lease_holders', []) + [
+            holders
+        ]
 
 
 @then("two controllers never hold the leader's lease at the same time")
-def one_lease(context):
-    assert all(len(held) <= 1 for held in context.held)
-    holders = {name for held in context.held for name in held}
-    assert len(holders) == 2, holders
+def at_most_one_lease(context):
+    assert all(len(holders) <= 1 for holders in context.lease_holders)
+    seen = {name for holders in context.lease_holders for name in holders}
+    assert len(seen) == 2, seen
 
 
 @then('the partitioned leader acknowledges nothing')
-def none_acked(context):
+def no_acks(context):
     world = context.world
     assert context.own, 'no command was proposed to it'
     assert not set(context.own) & set(world.acked)
@@ -209,23 +211,23 @@
 
 
 @when('the leader is paused until another one leads, and resumes')
-def freeze_until(context):
+def pause_leader(context):
     world = context.world
-    context.victim = world.wait_leader()
-    world.paused.add(context.victim)
+    context.old_leader = world.wait_leader()
+    world.paused.add(context.old_leader)
     assert world.run_until(
-        lambda: world.leader() not in (None, context.victim)
+        lambda: world.leader() not in (None, context.old_leader)
     )
 
 
 @then('it holds no lease before it receives a message')
-def no_lease_at_thaw(context):
-    node = context.world.nodes[context.victim]
+def no_lease_on_resume(context):
+    node = context.world.nodes[context.old_leader]
     assert node.role == consensus.LEADER
     assert not holds_lease(node, context.world.now_s)
 
 
-def _ask(world, follower, term, index, last_term):
+def _request_vote(world, follower, term, index, last_term):
     """Return whether a follower votes for a candidate with such a log."""
     message = consensus.RequestVote(term, False, index, last_term, False)
     effects = consensus.step(
@@ -251,33 +253,33 @@
         world.kill(follower)
         world.run(1)
         world.start(follower)
-        assert not _ask(world, follower, term, *last)
+        assert not _request_vote(world, follower, term, *last)
         return
     if candidate.startswith('a candidate while'):
-        assert not _ask(world, follower, term, *last)
+        assert not _request_vote(world, follower, term, *last)
         world.isolate(follower)
         world.run(0.6)
-        assert _ask(
+        assert _request_vote(
             world, follower, term, *last
         ), 'no vote without a leader either'
         return
     world.isolate(follower)
     world.run(0.6)
     if candidate.startswith('a candidate with'):
-        assert not _ask(world, follower, term, last[0] - 1, last[1])
+        assert not _request_vote(world, follower, term, last[0] - 1, last[1])
         return
-    assert _ask(world, follower, term, *last)
+    assert _request_vote(world, follower, term, *last)
     node.voted_for = 'cy'
-    assert not _ask(world, follower, term, *last)
+    assert not _request_vote(world, follower, term, *last)
 
 
 @when('the leader is partitioned and a read is requested from it')
-def read_cut_off(context):
+def read_from_partitioned(context):
     world = context.world
-    context.victim = world.wait_leader()
-    world.isolate(context.victim)
+    context.old_leader = world.wait_leader()
+    world.isolate(context.old_leader)
     world.run(0.02)
-    world.read(context.victim)
+    world.read(context.old_leader)
 
 
 @then('the read is never confirmed')
@@ -314,7 +316,7 @@
     world.run(0.5)
     context.before = len(world.acked)
     world.sync_s = 0.2
-    _offer(context)
+    _propose(context)
 
 
 @then('it is not acknowledged before a quorum has synced it')
@@ -330,13 +332,13 @@
 
     while payload not in world.acked:
         assert world.now_s < 60
-        early = {
+        committed = {
             name
             for name, node in world.nodes.items()
             if node.commit_index >= node.log.last_index
             and node.log.entries[-1].payload == payload
         }
-        assert not early or synced() >= 2, (early, synced())
+        assert not committed or synced() >= 2, (committed, synced())
         world.run(0.005)
     assert synced() >= 2
 
@@ -344,22 +346,22 @@
 @when("a follower is lost and the leader's disk becomes slow")
 def slow_leader(context):
     world = context.world
-    context.victim = world.wait_leader()
-    world.kill(next(n for n in world.nodes if n != context.victim))
-    world.slow_disks[context.victim] = 0.3
+    context.old_leader = world.wait_leader()
+    world.kill(next(n for n in world.nodes if n != context.old_leader))
+    world.slow_disks[context.old_leader] = 0.3
 
 
 @then('a command is not acknowledged before the leader has synced it')
 def leader_synced(context):
     world = context.world
-    _offer(context)
+    _propose(context)
     payload = b'%d' % context.number
-    begun_s = world.now_s
-    node = world.nodes[context.victim]
+    start_s = world.now_s
+    node = world.nodes[context.old_leader]
     world.run(0.25)
     assert node.commit_index < node.log.last_index, 'committed before its sync'
     assert world.run_until(lambda: payload in world.acked)
-    assert world.now_s - begun_s >= 0.3, world.now_s - begun_s
+    assert world.now_s - start_s >= 0.3, world.now_s - start_s
     assert node.commit_index == node.log.last_index
 
 
@@ -367,53 +369,53 @@
 def follower_down(context, count):
     world = context.world
     leader = world.wait_leader()
-    away = next(n for n in world.nodes if n != leader)
-    world.kill(away)
+    lost = next(n for n in world.nodes if n != leader)
+    world.kill(lost)
     for number in range(count):
-        _offer(context)
+        _propose(context)
         world.run(0.01)
         if number % 50 == 49:
             world.compact(world.wait_leader())
-    world.start(away)
+    world.start(lost)
     world.run(3)
-    assert world.nodes[away].snapshot.index > 100, 'no snapshot was sent'
+    assert world.nodes[lost].snapshot.index > 100, 'no snapshot was sent'
 
 
-@when('a follower loses its disk and is replaced by "{fresh}"')
-def replace(context, fresh):
+@when('a follower loses its disk and is replaced by "{new_name}"')
+def replace_follower(context, new_name):
     world = context.world
     leader = world.wait_leader()
     lost = next(n for n in world.nodes if n != leader)
-    world.replace_box(lost, fresh)
+    world.replace_box(lost, new_name)
     voters = list(world.config.voters)
-    world.change_config(voters, [fresh])
+    world.change_config(voters, [new_name])
     world.run(2)
     voters.remove(lost)
-    world.change_config(voters, [fresh])
-    voters.append(fresh)
+    world.change_config(voters, [new_name])
+    voters.append(new_name)
     world.change_config(voters)
     world.config = entries.Config({v: 'a' for v in voters}, {})
     del world.disks[lost]
-    context.fresh = fresh
+    context.new_name = new_name
 
 
 @when('another follower loses its disk immediately')
 def lose_another(context):
     world = context.world
     leader = world.wait_leader()
-    lost = next(n for n in world.nodes if n not in (leader, context.fresh))
+    lost = next(n for n in world.nodes if n not in (leader, context.new_name))
     world.kill(lost)
     del world.disks[lost]
 
 
 @when('a follower restarts with an empty disk and the leader is lost')
-def empty_and_lost(context):
+def restart_with_empty_disk(context):
     world = context.world
     leader = world.wait_leader()
-    back, away = [n for n in world.nodes if n != leader]
-    world.replace_box(back, back + '.new')
+    restarted, other = [n for n in world.nodes if n != leader]
+    world.replace_box(restarted, restarted + '.new')
     world.kill(leader)
-    assert away in world.nodes
+    assert other in world.nodes
 
 
 @then('no leader is elected in 5 s')
@@ -436,7 +438,7 @@
     elif change.startswith('a learner far'):
         world.add('c9')
         for _ in range(150):
-            _offer(context)
+            _propose(context)
             world.run(0.005)
         world.change_config(voters, ['c9'])
         peer = world.nodes[leader].peers['c9']
@@ -462,17 +464,17 @@
 @when('the leader transfers its leadership')
 def transfer_leadership(context):
     world = context.world
-    context.victim = world.wait_leader()
-    context.begun_s = world.now_s
-    world.step(context.victim, consensus.TransferLeadership(''))
-    assert not holds_lease(world.nodes[context.victim], world.now_s)
+    context.old_leader = world.wait_leader()
+    context.start_s = world.now_s
+    world.step(context.old_leader, consensus.TransferLeadership(''))
+    assert not holds_lease(world.nodes[context.old_leader], world.now_s)
 
 
 @then('another one leads within {seconds:f} s')
 def other_leads(context, seconds):
     world = context.world
     assert world.run_until(
-        lambda: world.leader() not in (None, context.victim), seconds
+        lambda: world.leader() not in (None, context.old_leader), seconds
     )
 
 
@@ -480,7 +482,7 @@
 def no_lease(context):
     world = context.world
     world.run(1)
-    assert not holds_lease(world.nodes[context.victim], world.now_s)
+    assert not holds_lease(world.nodes[context.old_leader], world.now_s)
 
 
 ACTIONS = (
@@ -490,7 +492,7 @@
 )  # fmt: skip
 
 
-def _act(world, action, pick, number):
+def _run_action(world, action, pick, number):
     names = sorted(world.disks)
     name = names[pick % len(names)]
     leader = world.leader()
@@ -531,10 +533,10 @@
     """Run a schedule, end all faults, and check that commands commit."""
     world = World([f'c{n + 1}' for n in range(count)], seed)
     for number, (action, pick, wait_s) in enumerate(schedule):
-        _act(world, action, pick, number)
+        _run_action(world, action, pick, number)
         world.run(wait_s)
         world.check()
-    _act(world, 'calm', 0, 0)
+    _run_action(world, 'calm', 0, 0)
     world.cut.clear()
     world.paused.clear()
     for name in world.disks:
@@ -608,45 +610,45 @@
 
 
 @when('the leader is partitioned, and one of its followers restarts')
-def cut_and_restart(context):
+def partition_and_restart(context):
     world = context.world
-    context.victim = world.wait_leader()
-    voter = next(n for n in world.nodes if n != context.victim)
-    world.isolate(context.victim)
+    context.old_leader = world.wait_leader()
+    voter = next(n for n in world.nodes if n != context.old_leader)
+    world.isolate(context.old_leader)
     world.kill(voter)
     world.start(voter)
-    context.held = []
+    context.lease_holders = []
     for _ in range(300):
         world.run(0.005)
-        held = [
+        holders = [
             name
             for name, node in world.nodes.items()
             if holds_lease(node, world.now_s)
         ]
-        context.held.append(held)
+        context.lease_holders.append(holders)
 
 
 @when('all controllers are killed and one restarts')
 def restart_one(context):
     world = context.world
-    context.victim = world.wait_leader()
+    context.old_leader = world.wait_leader()
     context.voter, context.other = sorted(
-        name for name in world.nodes if name != context.victim
+        name for name in world.nodes if name != context.old_leader
     )
     for name in list(world.nodes):
         world.kill(name)
     world.start(context.voter)
 
 
-def _tell(world, voter, sender, start_id):
+def _deny_leadership(world, voter, sender, start_id):
     event = consensus.Received(sender, consensus.NotLeading(start_id))
     consensus.step(world.nodes[voter], event, world.now_s)
 
 
-def _votes(world, voter):
+def _grants_vote(world, voter):
     node = world.nodes[voter]
     last = (node.log.last_index, node.log.last_term)
-    return _ask(world, voter, node.term + 1, *last)
+    return _request_vote(world, voter, node.term + 1, *last)
 
 
 def _start_again(context, term=0):
@@ -662,11 +664,11 @@
 def no_vote_before_leader(context):
     world, voter = context.world, context.voter
     start_id = world.nodes[voter].start_id
-    assert not _votes(world, voter)
-    _tell(world, voter, context.other, start_id)
-    assert not _votes(world, voter)
-    _tell(world, voter, context.victim, start_id)
-    assert _votes(world, voter)
+    assert not _grants_vote(world, voter)
+    _deny_leadership(world, voter, context.other, start_id)
+    assert not _grants_vote(world, voter)
+    _deny_leadership(world, voter, context.old_leader, start_id)
+    assert _grants_vote(world, voter)
 
 
 @then(
@@ -677,8 +679,8 @@
     world, voter = context.world, context.voter
     earlier_id = world.nodes[voter].start_id
     assert _start_again(context) != earlier_id
-    _tell(world, voter, context.victim, earlier_id)
-    assert not _votes(world, voter)
+    _deny_leadership(world, voter, context.old_leader, earlier_id)
+    assert not _grants_vote(world, voter)
 
 
 @then(
@@ -688,11 +690,11 @@
 def no_vote_in_later_term(context):
     world, voter = context.world, context.voter
     start_id = _start_again(context, term=1)
-    for name in (context.victim, context.other):
-        _tell(world, voter, name, start_id)
-    assert not _votes(world, voter)
+    for name in (context.old_leader, context.other):
+        _deny_leadership(world, voter, name, start_id)
+    assert not _grants_vote(world, voter)
     world.run(0.6)
-    assert _votes(world, voter)
+    assert _grants_vote(world, voter)
 
 
 @then(
@@ -708,21 +710,21 @@
     )
     disk.entries = []
     start_id = _start_again(context)
-    _tell(world, voter, context.victim, start_id)
-    assert not _votes(world, voter)
-    _tell(world, voter, context.other, start_id)
-    assert _votes(world, voter)
+    _deny_leadership(world, voter, context.old_leader, start_id)
+    assert not _grants_vote(world, voter)
+    _deny_leadership(world, voter, context.other, start_id)
+    assert _grants_vote(world, voter)
 
 
 @then('the leader does not reply to a restarted controller')
-def leader_is_silent(context):
+def leader_does_not_reply(context):
     world = context.world
     event = consensus.Received('c9', consensus.LeaderQuery(7))
     leader = world.wait_leader()
     assert not consensus.step(world.nodes[leader], event, world.now_s)
     follower = next(n for n in world.nodes if n != leader)
-    told = consensus.step(world.nodes[follower], event, world.now_s)
-    assert [effect.message for effect in told] == [consensus.NotLeading(7)]
+    replies = consensus.step(world.nodes[follower], event, world.now_s)
+    assert [effect.message for effect in replies] == [consensus.NotLeading(7)]
 
 
 @given('a replica on box "{name}" with a new identity')
@@ -767,13 +769,13 @@
 
 
 @then('the reply is that it is not the leader')
-def former_answered(context):
-    (told,) = context.sent
-    assert (told.sender, told.to) == ('c1.old', 'c3.x'), told
-    answer = replicas.unpack_message(told.body)
-    assert answer == consensus.NotLeading(7), answer
+def former_identity_replied(context):
+    (message,) = context.sent
+    assert (message.sender, message.to) == ('c1.old', 'c3.x'), message
+    reply = replicas.unpack_message(message.body)
+    assert reply == consensus.NotLeading(7), reply
 
 
 @then('the reply is none')
-def former_silent(context):
+def no_reply(context):
     assert not context.sent
