--- a/features/steps/storage_steps.py
+++ b/features/steps/storage_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on data folders, with real files and failing calls."""
+"""Steps for data folders, with real files and failing system calls."""
 
 import errno
 import os
@@ -48,7 +48,7 @@
         out.truncate(size)
 
 
-@when('the journal is cut {where}')
+@when('the journal is truncated {where}')
 def cut_journal(context, where):
     size = {
         "inside the last frame's body": context.ends[-1] - 5,
@@ -80,8 +80,8 @@
         _flip(context.folder / 'format', 1)
 
 
-@then('it opens with {count:d} frames and says that it cut bytes')
-def opens_with(context, count):
+@then('it opens with {count:d} frames and reports truncated bytes')
+def check_frames(context, count):
     found = storage.read(str(context.folder))
     assert [e.index for e in found.entries] == list(range(1, count + 1))
     assert found.truncated_bytes > 0
@@ -91,15 +91,15 @@
     assert _indexes(context.folder) == list(range(1, count + 2))
 
 
-@then('opening it is refused with code {code:d} and says what to do')
-def refuses(context, code):
+@then('opening it is refused with code {code:d} and reports the damage')
+def opening_refused(context, code):
     try:
         storage.Storage(str(context.folder))
     except errors.MountridgeError as problem:
         assert problem.code == code, problem
         assert 'damaged' in str(problem), problem
     else:
-        raise AssertionError('it opened')
+        raise AssertionError('it was opened')
 
 
 @then('"storage check" exits 1 with the code')
@@ -138,8 +138,8 @@
     return 0
 
 
-@when('the disk has room for only half of the next frame')
-def half_a_frame(context):
+@when('the disk has space for only half of the next frame')
+def disk_full_at_half(context):
     context.disk = storage.Storage(str(context.folder))
     journal = context.disk._journal
     short = mock.Mock(wraps=journal)
@@ -151,50 +151,55 @@
     context.codes.append(_save_code(context.disk))
 
 
-@then('the save raises code {first:d}, and code {second:d} once there is room')
-def save_waits(context, first, second):
+@then(
+    'the save raises code {first:d}, and code {second:d} once there is space'
+)
+def check_save_retry(context, first, second):
     assert context.codes == [first, second], context.codes
     context.disk.close()
 
 
-@then('the folder opens again with exactly {count:d} frames and nothing cut')
-def opens_whole(context, count):
+@then(
+    'the folder opens again with exactly {count:d} frames and nothing'
+    ' truncated'
+)
+def check_exact_frames(context, count):
     found = storage.read(str(context.folder))
     assert found.truncated_bytes == 0, found.truncated_bytes
     assert _indexes(context.folder) == list(range(1, count + 1))
 
 
 @then('the save raises code {code:d} and so does every later one')
-def save_fails(context, code):
+def check_save_fails(context, code):
     assert context.codes == [code, code], context.codes
     context.disk.close()
 
 
 @then('the folder opens again with at least {count:d} frames')
-def opens_again(context, count):
+def check_min_frames(context, count):
     storage.Storage(str(context.folder)).close()
     assert _indexes(context.folder)[:count] == list(range(1, count + 1))
 
 
 @then('opening it twice is refused with code {code:d}')
-def twice(context, code):
+def opened_twice(context, code):
     first = storage.Storage(str(context.folder))
     try:
         storage.Storage(str(context.folder))
     except errors.StorageFailed as problem:
         assert problem.code == code
     else:
-        raise AssertionError('it opened twice')
+        raise AssertionError('it was opened twice')
     finally:
         first.close()
 
 
 class Crash(BaseException):
-    """The process ends here."""
+    """Simulates the end of the process."""
 
 
 def _crash_at(step):
-    """Return a counter that raises at its call number ``step``."""
+    """Return a wrapper whose call number ``step`` raises `Crash`."""
     calls = {'count': 0}
 
     def hook(real):
@@ -213,13 +218,13 @@
     'a crash at each step of a snapshot at entry {at:d} leaves entries'
     ' {first:d} to {last:d}'
 )
-def crash_each_step(context, at, first, last):
-    kept = context.folder.with_name('kept')
-    shutil.copytree(context.folder, kept)
+def crash_at_each_step(context, at, first, last):
+    copy = context.folder.with_name('copy')
+    shutil.copytree(context.folder, copy)
     crashes = 0
     for step in range(1, 40):
         shutil.rmtree(context.folder)
-        shutil.copytree(kept, context.folder)
+        shutil.copytree(copy, context.folder)
         crashed = _snapshot_with_crash(context.folder, at, step)
         found = storage.read(str(context.folder))
         assert found.term == 1 and found.voted_for == 'c1.0', found
@@ -257,8 +262,8 @@
         disk.close()
 
 
-@then('each file of a snapshot is synced before it takes its name')
-def synced_before_named(context):
+@then('each file of a snapshot is synced before it is renamed')
+def synced_before_renamed(context):
     disk = storage.Storage(str(context.folder))
     calls = []
     real_sync, real_replace = os.fsync, os.replace
@@ -283,20 +288,17 @@
     assert calls[-1] == str(context.folder), 'the folder is synced last'
 
 
-@then('making it again is refused with code {code:d}')
-def made_again(context, code):
+@then('initializing it again is refused with code {code:d}')
+def initialized_again(context, code):
     try:
         storage.initialize(str(context.folder), 'c1.0', CONFIG)
     except errors.StorageFailed as problem:
         assert problem.code == code
     else:
-        raise AssertionError('it was made twice')
+        raise AssertionError('it was initialized twice')
 
 
-@then(
-    '{count:d} random cuts and flips end in the same entries, fewer, or a'
-    ' refusal'
-)
+@then('{count:d} random truncations and flips yield a prefix or a refusal')
 def random_damage(context, count):
     whole = context.journal.read_bytes()
     seen = {'refused': 0, 'fewer': 0}
--- a/features/storage.feature
+++ b/features/storage.feature
@@ -1,9 +1,9 @@
 Feature: A controller's data folder
 
-  Scenario Outline: A journal cut <where> by a crash
+  Scenario Outline: A journal that a crash truncates <where> opens
     Given a data folder with 5 synced frames
-    When the journal is cut <where>
-    Then it opens with <frames> frames and says that it cut bytes
+    When the journal is truncated <where>
+    Then it opens with <frames> frames and reports truncated bytes
 
     Examples:
       | where                          | frames |
@@ -11,10 +11,10 @@
       | inside the last frame's header | 4      |
       | one byte before its end        | 4      |
 
-  Scenario Outline: Damage before the tail is refused: <where>
+  Scenario Outline: Damage before the end is refused: <where>
     Given a data folder with 5 synced frames
     When a bit is flipped in <where>
-    Then opening it is refused with code 1701 and says what to do
+    Then opening it is refused with code 1701 and reports the damage
     And "storage check" exits 1 with the code
 
     Examples:
@@ -24,12 +24,12 @@
       | the snapshot      |
       | the format        |
 
-  Scenario: A flipped bit in the last frame reads as a cut write
+  Scenario: A flipped bit in the last frame counts as an incomplete write
     Given a data folder with 5 synced frames
     When a bit is flipped in the last frame
-    Then it opens with 4 frames and says that it cut bytes
+    Then it opens with 4 frames and reports truncated bytes
 
-  Scenario Outline: A failed <call> is final
+  Scenario Outline: After a failed <call> all writes fail
     Given a data folder with 5 synced frames
     When <call> fails with "<error>" at the next save
     Then the save raises code 1700 and so does every later one
@@ -40,28 +40,28 @@
       | write | input/output error |
       | sync  | sync failed        |
 
-  Scenario: A frame that a full disk does not take is taken once there is room
+  Scenario: A write that fails on a full disk succeeds once there is space
     Given a data folder with 5 synced frames
-    When the disk has room for only half of the next frame
-    Then the save raises code 1702, and code 0 once there is room
-    And the folder opens again with exactly 6 frames and nothing cut
+    When the disk has space for only half of the next frame
+    Then the save raises code 1702, and code 0 once there is space
+    And the folder opens again with exactly 6 frames and nothing truncated
 
   Scenario: A folder is used by one process at a time
     Given a data folder with 5 synced frames
     Then opening it twice is refused with code 1700
 
-  Scenario: A snapshot replaces what it covers, and survives a crash at each step
+  Scenario: A crash at any step of a snapshot loses no entries
     Given a data folder with 5 synced frames
     Then a crash at each step of a snapshot at entry 3 leaves entries 1 to 5
 
-  Scenario: A snapshot takes its name only once it is synced
+  Scenario: The files of a snapshot are renamed only once they are synced
     Given a data folder with 5 synced frames
-    Then each file of a snapshot is synced before it takes its name
+    Then each file of a snapshot is synced before it is renamed
 
-  Scenario: A folder is never made twice
+  Scenario: An existing folder is not initialized again
     Given a data folder with 5 synced frames
-    Then making it again is refused with code 1700
+    Then initializing it again is refused with code 1700
 
-  Scenario: Random cuts and flips never pass for good data
+  Scenario: Random truncations and bit flips never yield wrong entries
     Given a data folder with 5 synced frames
-    Then 150 random cuts and flips end in the same entries, fewer, or a refusal
+    Then 150 random truncations and flips yield a prefix or a refusal
