--- a/features/steps/consensus_steps.py
+++ b/features/steps/consensus_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on the consensus core under a scripted network."""
+"""Steps for the consensus core on a simulated network."""
 
 import tempfile
 import types
@@ -9,15 +9,15 @@
 from hypothesis import given as for_all
 from hypothesis import Phase, settings, strategies
 
-from features.worlds.consensus import consensus_lease, World
+from features.worlds.consensus import holds_lease, World
 from mountridge.consensus import consensus, entries, replicas, storage
 from mountridge import errors, messages, metrics
 
 MOMENTS = {
-    'before it sends': 'before',
-    'after it sent': 'sent',
-    'after a follower has it': 'held',
-    'after it acknowledged': 'acknowledged',
+    'before the entry is sent': 'before',
+    'after the entry is sent': 'sent',
+    'after a follower has the entry': 'held',
+    'after the entry is acknowledged': 'acknowledged',
 }
 
 
@@ -28,7 +28,7 @@
     context.number = 0
 
 
-def _offer(context, name=None):
+def _propose(context, name=None):
     world = context.world
     name = name or world.leader()
     context.number += 1
@@ -41,22 +41,22 @@
     world = context.world
     world.wait_leader()
     for _ in range(10):
-        assert _offer(context)
+        assert _propose(context)
         world.run(0.02)
     assert world.run_until(lambda: len(world.acked) == 10)
 
 
-def _reach(context, leader, moment):
-    """Offer a command and go on to the moment of the fault."""
+def _run_to_moment(context, leader, moment):
+    """Propose a command and run until the moment of the fault."""
     world = context.world
     if moment == 'before':
         world.isolate(leader)
-        _offer(context, leader)
+        _propose(context, leader)
         world.run(0.0005)
         world.cut.clear()
         return
     before = len(world.acked)
-    _offer(context, leader)
+    _propose(context, leader)
     if moment == 'sent':
         return
     if moment == 'held':
@@ -65,26 +65,26 @@
     assert world.run_until(lambda: len(world.acked) > before)
 
 
-def _strike(world, leader, fault):
-    if fault == 'a kill':
+def _inject_fault(world, leader, fault):
+    if fault == 'a crash':
         world.kill(leader)
     elif fault == 'a restart':
         world.kill(leader)
         world.start(leader)
-    elif fault == 'a freeze and thaw':
+    elif fault == 'a pause':
         world.paused.add(leader)
-    elif fault == 'a cut both ways':
+    elif fault == 'a partition':
         world.isolate(leader)
-    elif fault == 'a cut of its sends':
+    elif fault == 'lost outgoing links':
         world.isolate(leader, both=False)
-    elif fault == 'a cut of its hearing':
+    elif fault == 'lost incoming links':
         others = [n for n in world.disks if n != leader]
         world.cut.update((other, leader) for other in others)
-    elif fault == 'lost messages':
+    elif fault == 'message loss':
         world.drop = 0.2
-    elif fault == 'doubled messages':
+    elif fault == 'duplicated messages':
         world.duplicate = 0.5
-    elif fault == 'late, crossed ones':
+    elif fault == 'reordered messages':
         world.reorder = 0.5
     elif fault == 'a slow disk':
         world.sync_s = 0.08
@@ -93,7 +93,7 @@
 
 
 @when('the leader suffers {fault} {moment}')
-def suffer(context, fault, moment):
+def inject_fault(context, fault, moment):
     for text, key in MOMENTS.items():
         if f'{fault} {moment}'.endswith(text):
             fault = f'{fault} {moment}'[: -len(text) - 1]
@@ -101,22 +101,24 @@
     else:
         raise AssertionError(f'unknown moment {moment}')
     world = context.world
-    context.victim = world.wait_leader()
-    _reach(context, context.victim, key)
-    _strike(world, context.victim, fault)
+    context.old_leader = world.wait_leader()
+    _run_to_moment(context, context.old_leader, key)
+    _inject_fault(world, context.old_leader, fault)
 
 
-@when('commands are offered for {seconds:d} s')
-def offer_for(context, seconds):
+@when('commands are proposed for {seconds:d} s')
+def propose_for(context, seconds):
     world = context.world
     before = len(world.acked)
     for _ in range(seconds * 20):
-        _offer(context)
+        _propose(context)
         if context.number % 10 == 0 and world.leader():
             world.compact(world.leader())
         world.run(0.05)
         world.check()
-    assert len(world.acked) > before + 10, 'the rest did not go on'
+    assert (
+        len(world.acked) > before + 10
+    ), 'the other controllers commit nothing'
 
 
 @when('the faults end')
@@ -132,11 +134,11 @@
     world.run(3)
 
 
-@then('all that was acknowledged is there, on all controllers, once')
+@then('all acknowledged commands are applied once, on all controllers')
 def check_all(context):
     world = context.world
     world.wait_leader()
-    _offer(context)
+    _propose(context)
     world.run(3)
     world.check(settled=True)
     lengths = {len(world.applied[name]) for name in world.nodes}
@@ -144,7 +146,7 @@
     assert world.acked
 
 
-@then('a read confirmed by a quorum sees it')
+@then('a read confirmed by a quorum returns them')
 def check_read(context):
     world = context.world
     leader = world.wait_leader()
@@ -155,77 +157,79 @@
 
 @when('the first leader is elected')
 def first_leader(context):
-    context.victim = context.world.wait_leader()
+    context.old_leader = context.world.wait_leader()
 
 
-@then('it leads still, in the same term, 5 s later')
+@then('it still leads in the same term 5 s later')
 def leads_still(context):
     world = context.world
-    term = world.nodes[context.victim].term
+    term = world.nodes[context.old_leader].term
     world.run(5)
-    assert world.leader() == context.victim
-    assert world.nodes[context.victim].term == term
+    assert world.leader() == context.old_leader
+    assert world.nodes[context.old_leader].term == term
 
 
-@when('the leader is cut off while its clients go on')
-def cut_off(context):
+@when('the leader is partitioned while clients propose commands to it')
+def partition_leader(context):
     world = context.world
-    context.victim = world.wait_leader()
-    world.isolate(context.victim)
+    context.old_leader = world.wait_leader()
+    world.isolate(context.old_leader)
     context.cut_s = world.now_s
     context.before = list(world.acked)
     context.own = []
     for _ in range(150):
-        if _offer(context, context.victim):
+        if _propose(context, context.old_leader):
             context.own.append(b'%d' % context.number)
         other = world.leader()
-        if other and other != context.victim:
-            _offer(context, other)
+        if other and other != context.old_leader:
+            _propose(context, other)
         world.run(0.02)
-        held = [
+        holders = [
             name
             for name, node in world.nodes.items()
-            if consensus_lease(node, world.now_s)
+            if holds_lease(node, world.now_s)
+        ]
+        context.lease_holders = getattr(context, 'lease_holders', []) + [
+            holders
         ]
-        context.held = getattr(context, 'held', []) + [held]
 
 
-@then("at no moment do two controllers hold the leader's lease")
-def one_lease(context):
-    assert all(len(held) <= 1 for held in context.held)
-    holders = {name for held in context.held for name in held}
-    assert len(holders) == 2, holders
+@then("two controllers never hold the leader's lease at the same time")
+def at_most_one_lease(context):
+    assert all(len(holders) <= 1 for holders in context.lease_holders)
+    seen = {name for holders in context.lease_holders for name in holders}
+    assert len(seen) == 2, seen
 
 
-@then('nothing is acknowledged by the one that was cut off')
-def none_acked(context):
+@then('the partitioned leader acknowledges nothing')
+def no_acks(context):
     world = context.world
-    assert context.own, 'it was offered nothing'
+    assert context.own, 'no command was proposed to it'
     assert not set(context.own) & set(world.acked)
     assert len(world.acked) > len(context.before)
     world.check()
 
 
-@when('the leader is frozen until another one leads, and thaws')
-def freeze_until(context):
+@when('the leader is paused until another one leads, and resumes')
+def pause_leader(context):
     world = context.world
-    context.victim = world.wait_leader()
-    world.paused.add(context.victim)
+    context.old_leader = world.wait_leader()
+    world.paused.add(context.old_leader)
     assert world.run_until(
-        lambda: world.leader() not in (None, context.victim)
+        lambda: world.leader() not in (None, context.old_leader)
     )
 
 
-@then('it holds no lease before it has heard of the other')
-def no_lease_at_thaw(context):
-    node = context.world.nodes[context.victim]
+@then('it holds no lease before it receives a message')
+def no_lease_on_resume(context):
+    node = context.world.nodes[context.old_leader]
     assert node.role == consensus.LEADER
-    assert not consensus_lease(node, context.world.now_s)
+    assert not holds_lease(node, context.world.now_s)
 
 
-def _ask(world, follower, term, index, last_term):
-    """Return the vote that a follower gives to such a candidate."""
-    message = consensus.AskVote(term, False, index, last_term, False)
+def _request_vote(world, follower, term, index, last_term):
+    """Return whether a follower votes for a candidate with such a log."""
+    message = consensus.RequestVote(term, False, index, last_term, False)
     effects = consensus.step(
         world.nodes[follower],
         consensus.Received('cx', message),
@@ -244,36 +248,38 @@
     node = world.nodes[follower]
     last = (node.log.last_index, node.log.last_term)
     term = node.term + 1
-    if candidate.startswith('one who asks just'):
+    if candidate.startswith('a candidate just'):
         world.kill(leader)
         world.kill(follower)
         world.run(1)
         world.start(follower)
-        assert not _ask(world, follower, term, *last)
+        assert not _request_vote(world, follower, term, *last)
         return
-    if candidate.startswith('one who asks while'):
-        assert not _ask(world, follower, term, *last)
+    if candidate.startswith('a candidate while'):
+        assert not _request_vote(world, follower, term, *last)
         world.isolate(follower)
         world.run(0.6)
-        assert _ask(world, follower, term, *last), 'nor when it is silent'
+        assert _request_vote(
+            world, follower, term, *last
+        ), 'no vote without a leader either'
         return
     world.isolate(follower)
     world.run(0.6)
-    if candidate.startswith('one with'):
-        assert not _ask(world, follower, term, last[0] - 1, last[1])
+    if candidate.startswith('a candidate with'):
+        assert not _request_vote(world, follower, term, last[0] - 1, last[1])
         return
-    assert _ask(world, follower, term, *last)
+    assert _request_vote(world, follower, term, *last)
     node.voted_for = 'cy'
-    assert not _ask(world, follower, term, *last)
+    assert not _request_vote(world, follower, term, *last)
 
 
-@when('the leader is cut off and a read is asked of it')
-def read_cut_off(context):
+@when('the leader is partitioned and a read is requested from it')
+def read_from_partitioned(context):
     world = context.world
-    context.victim = world.wait_leader()
-    world.isolate(context.victim)
+    context.old_leader = world.wait_leader()
+    world.isolate(context.old_leader)
     world.run(0.02)
-    world.read(context.victim)
+    world.read(context.old_leader)
 
 
 @then('the read is never confirmed')
@@ -288,29 +294,29 @@
     leader = world.wait_leader()
     world.run(0.2)
     node = world.nodes[leader]
-    commit = node.commit
+    commit = node.commit_index
     old = entries.Entry(
         node.term, node.log.last_index + 1, entries.COMMAND, b'old'
     )
     node.log.append([old])
-    # A later term begins to lead with that entry in its log.
+    # The leader of a later term has that entry in its log.
     node.term += 1
-    node.synced = old.index
+    node.synced_index = old.index
     for peer in node.peers.values():
-        peer.match = old.index
+        peer.match_index = old.index
     effects = consensus.step(
         node, consensus.Synced(old.index, old.term), world.now_s
     )
-    assert node.commit == commit and not effects, effects
+    assert node.commit_index == commit and not effects, effects
 
 
-@when('all disks become slow and a command is offered')
+@when('all disks become slow and a command is proposed')
 def slow_disks(context):
     world = context.world
     world.run(0.5)
     context.before = len(world.acked)
     world.sync_s = 0.2
-    _offer(context)
+    _propose(context)
 
 
 @then('it is not acknowledged before a quorum has synced it')
@@ -326,13 +332,13 @@
 
     while payload not in world.acked:
         assert world.now_s < 60
-        early = {
+        committed = {
             name
             for name, node in world.nodes.items()
-            if node.commit >= node.log.last_index
+            if node.commit_index >= node.log.last_index
             and node.log.entries[-1].payload == payload
         }
-        assert not early or synced() >= 2, (early, synced())
+        assert not committed or synced() >= 2, (committed, synced())
         world.run(0.005)
     assert synced() >= 2
 
@@ -340,76 +346,76 @@
 @when("a follower is lost and the leader's disk becomes slow")
 def slow_leader(context):
     world = context.world
-    context.victim = world.wait_leader()
-    world.kill(next(n for n in world.nodes if n != context.victim))
-    world.slow_disks[context.victim] = 0.3
+    context.old_leader = world.wait_leader()
+    world.kill(next(n for n in world.nodes if n != context.old_leader))
+    world.slow_disks[context.old_leader] = 0.3
 
 
 @then('a command is not acknowledged before the leader has synced it')
 def leader_synced(context):
     world = context.world
-    _offer(context)
+    _propose(context)
     payload = b'%d' % context.number
-    begun_s = world.now_s
-    node = world.nodes[context.victim]
+    start_s = world.now_s
+    node = world.nodes[context.old_leader]
     world.run(0.25)
-    assert node.commit < node.log.last_index, 'committed before its sync'
+    assert node.commit_index < node.log.last_index, 'committed before its sync'
     assert world.run_until(lambda: payload in world.acked)
-    assert world.now_s - begun_s >= 0.3, world.now_s - begun_s
-    assert node.commit == node.log.last_index
+    assert world.now_s - start_s >= 0.3, world.now_s - start_s
+    assert node.commit_index == node.log.last_index
 
 
 @when('a follower is down for {count:d} changes and snapshots')
 def follower_down(context, count):
     world = context.world
     leader = world.wait_leader()
-    away = next(n for n in world.nodes if n != leader)
-    world.kill(away)
+    lost = next(n for n in world.nodes if n != leader)
+    world.kill(lost)
     for number in range(count):
-        _offer(context)
+        _propose(context)
         world.run(0.01)
         if number % 50 == 49:
             world.compact(world.wait_leader())
-    world.start(away)
+    world.start(lost)
     world.run(3)
-    assert world.nodes[away].snapshot.index > 100, 'no snapshot was sent'
+    assert world.nodes[lost].snapshot.index > 100, 'no snapshot was sent'
 
 
-@when('a follower loses its disk and is replaced by "{fresh}"')
-def replace(context, fresh):
+@when('a follower loses its disk and is replaced by "{new_name}"')
+def replace_follower(context, new_name):
     world = context.world
     leader = world.wait_leader()
     lost = next(n for n in world.nodes if n != leader)
-    world.lose_disk(lost, fresh)
+    world.replace_box(lost, new_name)
     voters = list(world.config.voters)
-    world.change(voters, [fresh])
+    world.change_config(voters, [new_name])
     world.run(2)
     voters.remove(lost)
-    world.change(voters, [fresh])
-    voters.append(fresh)
-    world.change(voters)
+    world.change_config(voters, [new_name])
+    voters.append(new_name)
+    world.change_config(voters)
     world.config = entries.Config({v: 'a' for v in voters}, {})
     del world.disks[lost]
-    context.fresh = fresh
+    context.new_name = new_name
 
 
-@when('another follower loses its disk at once')
+@when('another follower loses its disk immediately')
 def lose_another(context):
     world = context.world
     leader = world.wait_leader()
-    lost = next(n for n in world.nodes if n not in (leader, context.fresh))
+    lost = next(n for n in world.nodes if n not in (leader, context.new_name))
     world.kill(lost)
     del world.disks[lost]
 
 
-@when('a follower comes back with an empty disk and the leader is lost')
-def empty_and_lost(context):
+@when('a follower restarts with an empty disk and the leader is lost')
+def restart_with_empty_disk(context):
     world = context.world
     leader = world.wait_leader()
-    back, away = [n for n in world.nodes if n != leader]
-    world.lose_disk(back, back + '.new')
+    restarted, other = [n for n in world.nodes if n != leader]
+    world.replace_box(restarted, restarted + '.new')
     world.kill(leader)
-    assert away in world.nodes
+    assert other in world.nodes
 
 
 @then('no leader is elected in 5 s')
@@ -432,15 +438,15 @@
     elif change.startswith('a learner far'):
         world.add('c9')
         for _ in range(150):
-            _offer(context)
+            _propose(context)
             world.run(0.005)
-        world.change(voters, ['c9'])
+        world.change_config(voters, ['c9'])
         peer = world.nodes[leader].peers['c9']
-        # Its newest answer is fresh, but its copy is old.
-        peer.acked_sent_s, peer.match = world.now_s, 3
+        # It has replied recently, but its log is far behind.
+        peer.acked_sent_s, peer.match_index = world.now_s, 3
         wanted = voters + ['c9']
     elif change.startswith('a learner'):
-        world.change(voters, ['c9'])
+        world.change_config(voters, ['c9'])
         wanted = voters + ['c9']
     else:
         config = entries.Config({v: 'a' for v in voters}, {'c9': 'a'})
@@ -455,28 +461,28 @@
         raise AssertionError('it was not refused')
 
 
-@when('the leader hands over')
-def hand_over(context):
+@when('the leader transfers its leadership')
+def transfer_leadership(context):
     world = context.world
-    context.victim = world.wait_leader()
-    context.begun_s = world.now_s
-    world.step(context.victim, consensus.HandOver(''))
-    assert not consensus_lease(world.nodes[context.victim], world.now_s)
+    context.old_leader = world.wait_leader()
+    context.start_s = world.now_s
+    world.step(context.old_leader, consensus.TransferLeadership(''))
+    assert not holds_lease(world.nodes[context.old_leader], world.now_s)
 
 
 @then('another one leads within {seconds:f} s')
 def other_leads(context, seconds):
     world = context.world
     assert world.run_until(
-        lambda: world.leader() not in (None, context.victim), seconds
+        lambda: world.leader() not in (None, context.old_leader), seconds
     )
 
 
-@then('the old one holds no lease from the moment it began')
+@then('the former leader holds no lease from the start of the transfer')
 def no_lease(context):
     world = context.world
     world.run(1)
-    assert not consensus_lease(world.nodes[context.victim], world.now_s)
+    assert not holds_lease(world.nodes[context.old_leader], world.now_s)
 
 
 ACTIONS = (
@@ -486,7 +492,7 @@
 )  # fmt: skip
 
 
-def _act(world, action, pick, number):
+def _run_action(world, action, pick, number):
     names = sorted(world.disks)
     name = names[pick % len(names)]
     leader = world.leader()
@@ -518,19 +524,19 @@
         world.compact(leader, keep=pick)
     elif action == 'hand over' and leader:
         try:
-            world.step(leader, consensus.HandOver(''))
+            world.step(leader, consensus.TransferLeadership(''))
         except errors.MountridgeError:
             pass
 
 
 def run_schedule(count, seed, schedule):
-    """Run a schedule, then heal all and check that the log goes on."""
+    """Run a schedule, end all faults, and check that commands commit."""
     world = World([f'c{n + 1}' for n in range(count)], seed)
     for number, (action, pick, wait_s) in enumerate(schedule):
-        _act(world, action, pick, number)
+        _run_action(world, action, pick, number)
         world.run(wait_s)
         world.check()
-    _act(world, 'calm', 0, 0)
+    _run_action(world, 'calm', 0, 0)
     world.cut.clear()
     world.paused.clear()
     for name in world.disks:
@@ -563,7 +569,7 @@
     context.runs = count
 
 
-@then('in each of them nothing acknowledged is lost, doubled or reordered')
+@then('no acknowledged command is lost, duplicated or reordered')
 def check_schedules(context):
     @settings(
         max_examples=context.runs,
@@ -584,7 +590,7 @@
     check()
 
 
-@when('all controllers are killed and start again over {span_s:f} s')
+@when('all controllers are killed and restart over {span_s:f} s')
 def restart_all(context, span_s):
     world = context.world
     names = list(world.nodes)
@@ -599,54 +605,54 @@
 @then('one leads within {limit_s:f} s of the last start')
 def leads_soon(context, limit_s):
     world = context.world
-    assert world.run_until(world.leader, limit_s), 'nobody leads'
+    assert world.run_until(world.leader, limit_s), 'no leader'
     world.wait_leader()
 
 
-@when('the leader is cut off, and one of its followers starts anew')
-def cut_and_restart(context):
+@when('the leader is partitioned, and one of its followers restarts')
+def partition_and_restart(context):
     world = context.world
-    context.victim = world.wait_leader()
-    voter = next(n for n in world.nodes if n != context.victim)
-    world.isolate(context.victim)
+    context.old_leader = world.wait_leader()
+    voter = next(n for n in world.nodes if n != context.old_leader)
+    world.isolate(context.old_leader)
     world.kill(voter)
     world.start(voter)
-    context.held = []
+    context.lease_holders = []
     for _ in range(300):
         world.run(0.005)
-        held = [
+        holders = [
             name
             for name, node in world.nodes.items()
-            if consensus_lease(node, world.now_s)
+            if holds_lease(node, world.now_s)
         ]
-        context.held.append(held)
+        context.lease_holders.append(holders)
 
 
-@when('all controllers are killed and one starts again')
+@when('all controllers are killed and one restarts')
 def restart_one(context):
     world = context.world
-    context.victim = world.wait_leader()
+    context.old_leader = world.wait_leader()
     context.voter, context.other = sorted(
-        name for name in world.nodes if name != context.victim
+        name for name in world.nodes if name != context.old_leader
     )
     for name in list(world.nodes):
         world.kill(name)
     world.start(context.voter)
 
 
-def _tell(world, voter, sender, start_id):
+def _deny_leadership(world, voter, sender, start_id):
     event = consensus.Received(sender, consensus.NotLeading(start_id))
     consensus.step(world.nodes[voter], event, world.now_s)
 
 
-def _votes(world, voter):
+def _grants_vote(world, voter):
     node = world.nodes[voter]
     last = (node.log.last_index, node.log.last_term)
-    return _ask(world, voter, node.term + 1, *last)
+    return _request_vote(world, voter, node.term + 1, *last)
 
 
 def _start_again(context, term=0):
-    """Start the voter again, with a later term on its disk; its number."""
+    """Restart the voter with ``term`` added on its disk; its start id."""
     world = context.world
     world.kill(context.voter)
     world.disks[context.voter].term += term
@@ -654,46 +660,46 @@
     return world.nodes[context.voter].start_id
 
 
-@then('it gives no vote before the last leader has said that it does not lead')
+@then('it grants no vote before the last leader has denied that it leads')
 def no_vote_before_leader(context):
     world, voter = context.world, context.voter
     start_id = world.nodes[voter].start_id
-    assert not _votes(world, voter)
-    _tell(world, voter, context.other, start_id)
-    assert not _votes(world, voter)
-    _tell(world, voter, context.victim, start_id)
-    assert _votes(world, voter)
+    assert not _grants_vote(world, voter)
+    _deny_leadership(world, voter, context.other, start_id)
+    assert not _grants_vote(world, voter)
+    _deny_leadership(world, voter, context.old_leader, start_id)
+    assert _grants_vote(world, voter)
 
 
 @then(
-    'it gives no vote before the last leader has said so to this start,'
-    ' not an earlier one'
+    'it grants no vote before the last leader has denied it to this start,'
+    ' not to an earlier one'
 )
 def no_vote_for_earlier(context):
     world, voter = context.world, context.voter
     earlier_id = world.nodes[voter].start_id
     assert _start_again(context) != earlier_id
-    _tell(world, voter, context.victim, earlier_id)
-    assert not _votes(world, voter)
+    _deny_leadership(world, voter, context.old_leader, earlier_id)
+    assert not _grants_vote(world, voter)
 
 
 @then(
-    'it gives no vote before silence tells it, where its log ends in an'
+    'it grants no vote before the election timeout, if its log ends in an'
     ' earlier term'
 )
 def no_vote_in_later_term(context):
     world, voter = context.world, context.voter
     start_id = _start_again(context, term=1)
-    for name in (context.victim, context.other):
-        _tell(world, voter, name, start_id)
-    assert not _votes(world, voter)
+    for name in (context.old_leader, context.other):
+        _deny_leadership(world, voter, name, start_id)
+    assert not _grants_vote(world, voter)
     world.run(0.6)
-    assert _votes(world, voter)
+    assert _grants_vote(world, voter)
 
 
 @then(
-    'it gives no vote before all voters have said so, where a snapshot hides'
-    ' who led'
+    "it grants no vote before all voters have denied it, if the leader's"
+    ' entry is compacted'
 )
 def no_vote_after_snapshot(context):
     world, voter = context.world, context.voter
@@ -704,24 +710,24 @@
     )
     disk.entries = []
     start_id = _start_again(context)
-    _tell(world, voter, context.victim, start_id)
-    assert not _votes(world, voter)
-    _tell(world, voter, context.other, start_id)
-    assert _votes(world, voter)
+    _deny_leadership(world, voter, context.old_leader, start_id)
+    assert not _grants_vote(world, voter)
+    _deny_leadership(world, voter, context.other, start_id)
+    assert _grants_vote(world, voter)
 
 
-@then('the leader does not answer one that has just started')
-def leader_is_silent(context):
+@then('the leader does not reply to a restarted controller')
+def leader_does_not_reply(context):
     world = context.world
-    event = consensus.Received('c9', consensus.Started(7))
+    event = consensus.Received('c9', consensus.LeaderQuery(7))
     leader = world.wait_leader()
     assert not consensus.step(world.nodes[leader], event, world.now_s)
     follower = next(n for n in world.nodes if n != leader)
-    told = consensus.step(world.nodes[follower], event, world.now_s)
-    assert [effect.message for effect in told] == [consensus.NotLeading(7)]
+    replies = consensus.step(world.nodes[follower], event, world.now_s)
+    assert [effect.message for effect in replies] == [consensus.NotLeading(7)]
 
 
-@given('a replica on box "{name}" with a fresh identity')
+@given('a replica on box "{name}" with a new identity')
 def fresh_replica(context, name):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
@@ -754,22 +760,22 @@
     context.replica = replicas.Replica(app, None, lambda role: None)
 
 
-@when('one that has started anew asks "{asked}" at its address')
-def ask_former(context, asked):
-    body = replicas.pack_message(consensus.Started(7))
-    message = messages.Raft('c3.x', asked, body, 'tcp://10.0.0.3:1')
+@when('a restarted controller queries "{target}" at its address')
+def query_former(context, target):
+    body = replicas.pack_message(consensus.LeaderQuery(7))
+    message = messages.Raft('c3.x', target, body, 'tcp://10.0.0.3:1')
     peer = types.SimpleNamespace(name='')
     context.replica.on_raft(peer, message)
 
 
-@then('the answer is that this does not lead')
-def former_answered(context):
-    (told,) = context.sent
-    assert (told.sender, told.to) == ('c1.old', 'c3.x'), told
-    answer = replicas.unpack_message(told.body)
-    assert answer == consensus.NotLeading(7), answer
+@then('the reply is that it is not the leader')
+def former_identity_replied(context):
+    (message,) = context.sent
+    assert (message.sender, message.to) == ('c1.old', 'c3.x'), message
+    reply = replicas.unpack_message(message.body)
+    assert reply == consensus.NotLeading(7), reply
 
 
-@then('the answer is none')
-def former_silent(context):
+@then('the reply is none')
+def no_reply(context):
     assert not context.sent
--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -154,11 +154,11 @@
             raise reply
         return reply
 
-    async def confirm(self):
+    async def confirm_leadership(self):
         await trio.sleep(COMMIT_S)
         self.check_leader()
 
-    async def stepped(self):
+    async def wait_for_step(self):
         await trio.sleep(COMMIT_S)
 
     def on_raft(self, peer, message):
@@ -168,7 +168,7 @@
         self.catch_up()
         await trio.sleep_forever()
 
-    async def hand_over(self):
+    async def transfer_leadership(self):
         self.world.elect(without=self.app.name)
 
 
--- a/mountridge/clistorage.py
+++ b/mountridge/clistorage.py
@@ -92,7 +92,7 @@
     entry, and the sizes of the journal and of its incomplete tail.
     """
     try:
-        click.echo(storage.check(folder))
+        click.echo(storage.describe(folder))
     except (errors.MountridgeError, OSError) as problem:
         if isinstance(problem, OSError):
             problem = errors.DamagedStorage(str(problem))
--- a/mountridge/consensus/consensus.py
+++ b/mountridge/consensus/consensus.py
@@ -1,35 +1,37 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The consensus core: a replicated log with one leader a term.
+"""The consensus core: a replicated log with one leader per term.
 
 Follows Raft (Ongaro and Ousterhout, USENIX ATC 2014) with pre-vote,
 check-quorum, a leader lease, learners, changes of one voter at a time, and
-hand-over of leadership. No I/O: `step` takes an event and the present time
-and returns effects, which the caller carries out in their order. Whatever
-stands after a `SaveVote`, `SaveEntries` or `SaveSnapshot` must not be done
-before those are synced, but for a `Send` marked ``early``.
+leadership transfer. No I/O: `step` takes an event and the current time and
+returns effects, which the caller executes in order. Effects that follow a
+`SaveVote`, `SaveEntries` or `SaveSnapshot` must not be executed before that
+is synced, except a `Send` with ``before_sync``.
 """
 
 import random
 import typing
 
 from mountridge.consensus.consensustypes import (
-    Apply, AskVote, Append, Appended, Campaign, CANDIDATE, ChangeConfig,
-    Compact, Effect, FOLLOWER, HandOver, Install, Installed, LEADER,
-    Message, Node, NotLeading, Peer, PRE_CANDIDATE, Propose, Read, ReadReady,
-    Received, Role, SaveEntries, SaveSnapshot, SaveVote, Send, Snapshot,
-    Started, Synced, Tick, Timing, Vote,
+    AppendEntries, AppendEntriesReply, Apply, CANDIDATE, ChangeConfig, Compact,
+    Effect, FOLLOWER, InstallSnapshot, InstallSnapshotReply, LEADER,
+    LeaderQuery, Message, Node, NotLeading, Peer, PRE_CANDIDATE, Propose, Read,
+    ReadReady, Received, RequestVote, RoleChanged, SaveEntries, SaveSnapshot,
+    SaveVote, Send, Snapshot, Synced, Tick, TimeoutNow, Timing,
+    TransferLeadership, VoteReply,
 )  # fmt: skip
 from mountridge.consensus import elections, entries, replication
 from mountridge import errors
 
 __all__ = [
-    'Apply', 'AskVote', 'Append', 'Appended', 'Campaign', 'CANDIDATE',
-    'ChangeConfig', 'Compact', 'Effect', 'FOLLOWER', 'HandOver', 'Install',
-    'Installed', 'LEADER', 'Message', 'Node', 'NotLeading', 'Peer',
-    'PRE_CANDIDATE', 'Propose', 'Read', 'ReadReady', 'Received', 'Role',
-    'SaveEntries', 'SaveSnapshot', 'SaveVote', 'Send', 'Snapshot', 'Started',
-    'Synced', 'Tick', 'Timing', 'Vote', 'make_node', 'step',
+    'AppendEntries', 'AppendEntriesReply', 'Apply', 'CANDIDATE',
+    'ChangeConfig', 'Compact', 'Effect', 'FOLLOWER', 'InstallSnapshot',
+    'InstallSnapshotReply', 'LEADER', 'LeaderQuery', 'make_node', 'Message',
+    'Node', 'NotLeading', 'Peer', 'PRE_CANDIDATE', 'Propose', 'Read',
+    'ReadReady', 'Received', 'RequestVote', 'RoleChanged', 'SaveEntries',
+    'SaveSnapshot', 'SaveVote', 'Send', 'Snapshot', 'step', 'Synced', 'Tick',
+    'TimeoutNow', 'Timing', 'TransferLeadership', 'VoteReply',
 ]  # fmt: skip
 
 
@@ -42,23 +44,23 @@
     rng: random.Random,
     now_s: float,
 ) -> Node:
-    """Return a follower that starts from what its storage holds."""
+    """Return a follower with the state that its storage holds."""
     node = Node(node_id, term, voted_for, log, timing, rng)
-    elections.begin_anew(node, now_s)
+    elections.reset_after_start(node, now_s)
     return node
 
 
 def _tick(node: Node, event: Tick, now_s: float) -> list[Effect]:
     if node.role == LEADER:
-        return replication.lead(node, now_s)
+        return replication.leader_tick(node, now_s)
     if now_s >= node.election_at_s:
-        return elections.begin_pre_vote(node, now_s)
-    return elections.ask_who_leads(node, now_s)
+        return elections.start_pre_vote(node, now_s)
+    return elections.query_leaders(node, now_s)
 
 
 def _propose(node: Node, event: Propose, now_s: float) -> list[Effect]:
-    _check_leads(node)
-    fresh = [
+    _check_leader(node)
+    new_entries = [
         entries.Entry(
             node.term,
             node.log.last_index + 1 + number,
@@ -67,33 +69,38 @@
         )
         for number, payload in enumerate(event.payloads)
     ]
-    return replication.append_own(node, fresh, now_s)
+    return replication.append_as_leader(node, new_entries, now_s)
 
 
-def _check_leads(node: Node) -> None:
-    if node.role != LEADER or node.handing_to:
-        problem = errors.NotLeader(f'{node.node_id} does not lead')
+def _check_leader(node: Node) -> None:
+    if node.role != LEADER or node.transfer_target:
+        problem = errors.NotLeader(f'{node.node_id} is not the leader')
         problem.leader = node.leader_id
         raise problem
 
 
 def _read(node: Node, event: Read, now_s: float) -> list[Effect]:
-    _check_leads(node)
-    node.reads.append((event.read_id, now_s))
-    return replication.beat(node, now_s) + replication.answer_reads(
+    _check_leader(node)
+    node.pending_reads.append((event.read_id, now_s))
+    return replication.send_heartbeats(
         node, now_s
-    )
+    ) + replication.confirm_reads(node, now_s)
 
 
-def _change(node: Node, event: ChangeConfig, now_s: float) -> list[Effect]:
-    _check_leads(node)
-    if node.commit < node.config_index or node.commit < node.term_start:
+def _change_config(
+    node: Node, event: ChangeConfig, now_s: float
+) -> list[Effect]:
+    _check_leader(node)
+    if (
+        node.commit_index < node.config_index
+        or node.commit_index < node.term_start_index
+    ):
         raise errors.RefusedChange('an earlier change is not yet committed')
     before, after = set(node.config.voters), set(event.config.voters)
     if len(before ^ after) > 1:
-        raise errors.RefusedChange('one voter at a time')
+        raise errors.RefusedChange('only one voter at a time may change')
     if not after:
-        raise errors.RefusedChange('the last voter stays')
+        raise errors.RefusedChange('the last voter cannot be removed')
     for added in after - before:
         replication.check_caught_up(node, added, now_s)
     entry = entries.Entry(
@@ -102,25 +109,29 @@
         entries.CONFIG,
         event.config.pack(),
     )
-    return replication.append_own(node, [entry], now_s)
+    return replication.append_as_leader(node, [entry], now_s)
 
 
-def _hand_over(node: Node, event: HandOver, now_s: float) -> list[Effect]:
-    _check_leads(node)
-    target = event.target or replication.best_voter(node, now_s)
+def _transfer_leadership(
+    node: Node, event: TransferLeadership, now_s: float
+) -> list[Effect]:
+    _check_leader(node)
+    target = event.target or replication.best_transfer_target(node, now_s)
     if target == node.node_id or target not in node.config.voters:
-        raise errors.RefusedChange(f'{target or "no one"} can take over')
-    node.handing_to = target
-    node.handing_until_s = now_s + node.timing.election_s
-    return replication.continue_hand_over(node, now_s)
+        raise errors.RefusedChange(
+            f'cannot transfer leadership to {target or "another voter"}'
+        )
+    node.transfer_target = target
+    node.transfer_deadline_s = now_s + node.timing.election_s
+    return replication.continue_transfer(node, now_s)
 
 
 def _compact(node: Node, event: Compact, now_s: float) -> list[Effect]:
-    """Take a snapshot made by the caller up to an applied index."""
+    """Record a snapshot of the state at an applied index; trim the log."""
     index = event.index
     term = node.log.term_at(index)
     newest = node.snapshot.index if node.snapshot else -1
-    if term is None or index > node.commit or index <= newest:
+    if term is None or index > node.commit_index or index <= newest:
         return []
     log = node.log
     node.snapshot = Snapshot(index, term, log.config_at(index), event.data)
@@ -128,39 +139,39 @@
     return [SaveSnapshot(node.snapshot)]
 
 
-def _received(node: Node, event: Received, now_s: float) -> list[Effect]:
+def _handle_message(node: Node, event: Received, now_s: float) -> list[Effect]:
     handler = _MESSAGES[type(event.message)]
     return handler(node, event.sender, event.message, now_s)
 
 
 _MESSAGES: dict[type, typing.Callable] = {
-    AskVote: elections.on_ask_vote,
-    Vote: elections.on_vote,
-    Campaign: elections.on_campaign,
-    Started: elections.on_started,
+    RequestVote: elections.on_request_vote,
+    VoteReply: elections.on_vote_reply,
+    TimeoutNow: elections.on_timeout_now,
+    LeaderQuery: elections.on_leader_query,
     NotLeading: elections.on_not_leading,
-    Append: replication.on_append,
-    Appended: replication.on_appended,
-    Install: replication.on_install,
-    Installed: replication.on_installed,
+    AppendEntries: replication.on_append_entries,
+    AppendEntriesReply: replication.on_append_entries_reply,
+    InstallSnapshot: replication.on_install_snapshot,
+    InstallSnapshotReply: replication.on_install_snapshot_reply,
 }
 
 _EVENTS: dict[type, typing.Callable] = {
     Tick: _tick,
-    Received: _received,
+    Received: _handle_message,
     Synced: replication.on_synced,
     Propose: _propose,
     Read: _read,
-    ChangeConfig: _change,
-    HandOver: _hand_over,
+    ChangeConfig: _change_config,
+    TransferLeadership: _transfer_leadership,
     Compact: _compact,
 }
 
 
 def step(node: Node, event: typing.Any, now_s: float) -> list[Effect]:
-    """Take one event and return what is to be done, in order.
+    """Process one event and return its effects, in order.
 
     :raises NotLeader: the event is for the leader only.
-    :raises RefusedChange: the change of the controllers is not allowed.
+    :raises RefusedChange: the change of the configuration is not allowed.
     """
     return _EVENTS[type(event)](node, event, now_s)
--- a/mountridge/consensus/elections.py
+++ b/mountridge/consensus/elections.py
@@ -1,162 +1,177 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Elections of the consensus core: pre-votes, votes, and what ends them.
-
-A vote is given only where no leader's lease can rest on this voter. That is
-so after a silence of the election time. After a start of all controllers it
-is known sooner, without a clock: a lease that rests on what this process
-said before its start is held by a leader that still leads. So a voter that
-has just started asks whoever may be that leader, and once it is told that it
-does not lead, it may vote and stand for election at once.
-
-Who may be it: this voter answers a leader only once it has saved the leader's
-term. Where its log ends in that term, it has all entries up to the leader's
-first one, which names the leader. Where that entry has gone into a snapshot,
-the leader is a voter of the snapshot's configuration or of a later one, or
-its removal is committed and it has stepped down. Where the log ends in an
-earlier term than the saved one, nothing tells, and only silence counts.
-Leaders of earlier terms hold no lease: their successor was elected without.
-
-A box that has lost its disk has a new identity, and answers for its former
-one: the process of that one has ended, or its address were not free.
-
-Why its answer suffices: it did not lead when it answered, after this start,
-and can lead later only by votes and answers that are given later still.
+"""Elections of the consensus core: pre-votes, votes and election timeouts.
+
+A voter grants a vote only if no leader's lease can depend on its replies.
+That holds once it has had no contact with a leader for the election time.
+After a restart it can be known sooner, without a clock: a lease that depends
+on replies from before the restart belongs to a leader that still leads. So a
+restarted voter asks every possible leader whether it leads. Once all have
+denied it, the voter may vote and start an election at once.
+
+Possible leaders: a voter replies to a leader only after it has saved the
+leader's term. If its log ends in that term, it has the leader's first entry,
+which names the leader. If that entry was compacted into a snapshot, the
+leader is a voter of the snapshot's configuration or of a later one, or its
+removal is committed and it has stepped down. If the log ends in an earlier
+term than the saved one, the leader is unknown and only the timeout counts.
+Leaders of earlier terms hold no lease, or no successor had been elected.
+
+A box that has lost its disk has a new identity and replies for its former
+one: the former process has ended, or its address would still be in use.
+
+One denial per possible leader suffices: it did not lead when it replied,
+after this restart, and can become leader only by votes and replies that are
+sent later still.
 """
 
 from mountridge.consensus.consensustypes import (
-    AskVote, CANDIDATE, Campaign, Effect, FOLLOWER, Node, PRE_CANDIDATE,
-    LEADER, NotLeading, SaveVote, Send, STAGGER_S, Started, Vote,
+    CANDIDATE, Effect, ELECTION_STAGGER_S, FOLLOWER, LEADER, LeaderQuery, Node,
+    NotLeading, PRE_CANDIDATE, RequestVote, SaveVote, Send, TimeoutNow,
+    VoteReply,
 )  # fmt: skip
 from mountridge.consensus import entries, replication
 
 __all__ = [
-    'ask_who_leads', 'begin_anew', 'begin_pre_vote', 'on_ask_vote',
-    'on_campaign', 'on_not_leading', 'on_started', 'on_vote',
-    'restart_timer',
+    'on_leader_query', 'on_not_leading', 'on_request_vote', 'on_timeout_now',
+    'on_vote_reply', 'query_leaders', 'reset_after_start',
+    'reset_election_timer', 'start_pre_vote',
 ]  # fmt: skip
 
-#: Whoever has granted a pre-vote waits this long before it asks for its own:
-#: the other's election should be over. Below the pause between pre-votes, so
-#: that one whose asking leads nowhere holds up nobody.
-YIELD_S = 2 * STAGGER_S
-#: Pre-votes that are lost double the pause before the next one, up to the
-#: election time; this bounds the count alone.
-MOST_DOUBLINGS = 8
+#: A voter that granted a pre-vote requests none for this long, in which the
+#: other's election should end. Shorter than the interval between pre-votes,
+#: so that a candidate that cannot win does not block the others.
+ELECTION_DEFER_S = 2 * ELECTION_STAGGER_S
+#: The interval doubles with each failed pre-vote, up to the election time;
+#: this only bounds the exponent.
+MAX_DOUBLINGS = 8
 
 
-def restart_timer(node: Node, now_s: float) -> None:
-    """Wait for a random time, so that elections seldom collide."""
+def reset_election_timer(node: Node, now_s: float) -> None:
+    """Set a random election timeout, so that elections seldom collide."""
     span_s = node.timing.election_s * (1 + node.rng.random())
     node.election_at_s = now_s + span_s
 
 
-def begin_anew(node: Node, now_s: float) -> None:
-    """Begin a start of this process, in which no leader was heard yet."""
-    node.started_s = node.heard_s = node.ask_at_s = now_s
-    node.knows_leader = node.term == node.log.last_term
-    node.may_lead = _may_lead(node.log) - {node.node_id}
-    restart_timer(node, now_s)
-    if node.knows_leader and not node.may_lead:
-        _stand_soon(node, now_s)
+def reset_after_start(node: Node, now_s: float) -> None:
+    """Initialize the timers and the possible leaders after a start."""
+    node.started_s = node.leader_contact_s = node.next_query_s = now_s
+    node.possible_leaders_known = node.term == node.log.last_term
+    node.possible_leaders = _possible_leaders(node.log) - {node.node_id}
+    reset_election_timer(node, now_s)
+    if node.possible_leaders_known and not node.possible_leaders:
+        _schedule_election(node, now_s)
 
 
-def _may_lead(log: entries.Log) -> set[str]:
-    """Return who may be the leader of the term in which a log ends."""
+def _possible_leaders(log: entries.Log) -> set[str]:
+    """Return the possible leaders of the term in which the log ends."""
     leader_id = log.leader_of_last_term()
     return {leader_id} if leader_id else log.all_voters()
 
 
-def _stand_soon(node: Node, now_s: float) -> None:
+def _schedule_election(node: Node, now_s: float) -> None:
     order = sorted(node.config.voters)
     if node.node_id in order:
-        wait_s = STAGGER_S * order.index(node.node_id)
+        wait_s = ELECTION_STAGGER_S * order.index(node.node_id)
         node.election_at_s = min(node.election_at_s, now_s + wait_s)
 
 
-def _heard_nobody(node: Node) -> bool:
-    return node.heard_s == node.started_s
+def _no_contact_since_start(node: Node) -> bool:
+    return node.leader_contact_s == node.started_s
 
 
-def _nobody_leads(node: Node, now_s: float) -> bool:
-    """Return whether no leader's lease can rest on this voter."""
+def _no_active_lease(node: Node, now_s: float) -> bool:
+    """Return whether no leader's lease can depend on this voter."""
     if node.leader_id == node.node_id:
         return False
-    if _heard_nobody(node) and node.knows_leader and not node.may_lead:
+    if (
+        _no_contact_since_start(node)
+        and node.possible_leaders_known
+        and not node.possible_leaders
+    ):
         return True
-    return now_s - node.heard_s >= node.timing.election_s
+    return now_s - node.leader_contact_s >= node.timing.election_s
 
 
-def ask_who_leads(node: Node, now_s: float) -> list[Effect]:
-    """Ask those that may lead, until they answer or silence tells."""
-    if not _heard_nobody(node) or _nobody_leads(node, now_s):
+def query_leaders(node: Node, now_s: float) -> list[Effect]:
+    """Ask the possible leaders, until they reply or the timeout ends."""
+    if not _no_contact_since_start(node) or _no_active_lease(node, now_s):
         return []
-    if now_s < node.ask_at_s:
+    if now_s < node.next_query_s:
         return []
-    node.ask_at_s = now_s + node.timing.heartbeat_s
-    started = Started(node.start_id)
-    return [Send(voter, started) for voter in sorted(node.may_lead)]
+    node.next_query_s = now_s + node.timing.heartbeat_s
+    query = LeaderQuery(node.start_id)
+    return [Send(voter, query) for voter in sorted(node.possible_leaders)]
 
 
-def on_started(
-    node: Node, sender: str, message: Started, now_s: float
+def on_leader_query(
+    node: Node, sender: str, message: LeaderQuery, now_s: float
 ) -> list[Effect]:
-    """Tell one that has just started that this controller does not lead."""
+    """Reply to a restarted controller, unless this one leads."""
     if node.role == LEADER:
         return []
     effects: list[Effect] = [Send(sender, NotLeading(message.start_id))]
-    if _heard_nobody(node) and sender in node.may_lead:
-        # It was not there yet when it was asked.
-        effects.append(Send(sender, Started(node.start_id)))
+    if _no_contact_since_start(node) and sender in node.possible_leaders:
+        # The sender has just started and may have missed the first query.
+        effects.append(Send(sender, LeaderQuery(node.start_id)))
     return effects
 
 
 def on_not_leading(
     node: Node, sender: str, message: NotLeading, now_s: float
 ) -> list[Effect]:
-    """Stand for election soon, where nobody is left that may lead."""
-    if message.start_id != node.start_id or sender not in node.may_lead:
+    """Schedule an election once no possible leader is left."""
+    if (
+        message.start_id != node.start_id
+        or sender not in node.possible_leaders
+    ):
         return []
-    node.may_lead.discard(sender)
-    if not node.may_lead and node.knows_leader and _heard_nobody(node):
-        _stand_soon(node, now_s)
+    node.possible_leaders.discard(sender)
+    if (
+        not node.possible_leaders
+        and node.possible_leaders_known
+        and _no_contact_since_start(node)
+    ):
+        _schedule_election(node, now_s)
     return []
 
 
-def _others(node: Node) -> list[str]:
+def _other_voters(node: Node) -> list[str]:
     return [v for v in node.config.voters if v != node.node_id]
 
 
-def _ask(node: Node, term: int, pre: bool, handed: bool) -> list[Effect]:
-    message = AskVote(
-        term, pre, node.log.last_index, node.log.last_term, handed
+def _request_votes(
+    node: Node, term: int, pre_vote: bool, transfer: bool
+) -> list[Effect]:
+    message = RequestVote(
+        term, pre_vote, node.log.last_index, node.log.last_term, transfer
     )
-    return [Send(voter, message) for voter in _others(node)]
+    return [Send(voter, message) for voter in _other_voters(node)]
 
 
-def begin_pre_vote(node: Node, now_s: float) -> list[Effect]:
-    """Ask whether an election could be won, without a new term.
+def start_pre_vote(node: Node, now_s: float) -> list[Effect]:
+    """Ask whether an election could be won, without starting a new term.
 
-    That harms nobody, so it is asked again soon, and then less and less
-    often: some may have heard the leader a moment later than this one.
+    Retried soon, as it disturbs no leader and some voters may have had
+    contact with the leader a little later; the interval then doubles.
     """
-    span_s = node.timing.heartbeat_s * 2**node.pre_votes
+    span_s = node.timing.heartbeat_s * 2**node.pre_vote_attempts
     span_s = min(span_s, node.timing.election_s) * (1 + node.rng.random())
     node.election_at_s = now_s + span_s
-    node.pre_votes = min(node.pre_votes + 1, MOST_DOUBLINGS)
+    node.pre_vote_attempts = min(node.pre_vote_attempts + 1, MAX_DOUBLINGS)
     if node.node_id not in node.config.voters:
         return []
     node.role = PRE_CANDIDATE
-    node.asked_s = now_s
+    node.pre_vote_sent_s = now_s
     node.leader_id = ''
     node.votes = {node.node_id}
     if len(node.votes) >= node.quorum():
-        return _begin_election(node, False, now_s)
-    return _ask(node, node.term + 1, True, False)
+        return _start_election(node, False, now_s)
+    return _request_votes(node, node.term + 1, True, False)
 
 
-def _begin_election(node: Node, handed: bool, now_s: float) -> list[Effect]:
-    restart_timer(node, now_s)
+def _start_election(node: Node, transfer: bool, now_s: float) -> list[Effect]:
+    reset_election_timer(node, now_s)
     node.role = CANDIDATE
     node.leader_id = ''
     node.term += 1
@@ -164,65 +179,68 @@
     node.votes = {node.node_id}
     effects: list[Effect] = [SaveVote(node.term, node.voted_for)]
     if len(node.votes) >= node.quorum():
-        return effects + replication.begin_to_lead(node, now_s)
-    return effects + _ask(node, node.term, False, handed)
+        return effects + replication.become_leader(node, now_s)
+    return effects + _request_votes(node, node.term, False, transfer)
 
 
-def on_campaign(
-    node: Node, sender: str, message: Campaign, now_s: float
+def on_timeout_now(
+    node: Node, sender: str, message: TimeoutNow, now_s: float
 ) -> list[Effect]:
-    """Stand for election, since the leader hands over."""
+    """Start an election, as the leader transfers its leadership."""
     if message.term != node.term or node.role != FOLLOWER:
         return []
     if node.node_id not in node.config.voters:
         return []
-    return _begin_election(node, True, now_s)
+    return _start_election(node, True, now_s)
 
 
-def _is_up_to_date(node: Node, message: AskVote) -> bool:
-    theirs = (message.last_term, message.last_index)
-    return theirs >= (node.log.last_term, node.log.last_index)
+def _is_up_to_date(node: Node, message: RequestVote) -> bool:
+    candidate_log = (message.last_term, message.last_index)
+    return candidate_log >= (node.log.last_term, node.log.last_index)
 
 
-def _goes_first(
-    node: Node, sender: str, message: AskVote, now_s: float
+def _has_priority(
+    node: Node, sender: str, message: RequestVote, now_s: float
 ) -> bool:
-    """Return whether this voter asks for pre-votes too, and goes first.
+    """Return whether this voter requests pre-votes too, with priority.
 
-    Of two that ask at the same moment both would be granted, then both
-    elections fail, and the next ones come an election time later.
+    If two candidates were both granted pre-votes, both elections would fail,
+    and the next ones follow an election time later.
     """
-    if node.role != PRE_CANDIDATE or now_s > node.asked_s + YIELD_S:
+    if (
+        node.role != PRE_CANDIDATE
+        or now_s > node.pre_vote_sent_s + ELECTION_DEFER_S
+    ):
         return False
-    theirs = (message.last_term, message.last_index)
-    if theirs != (node.log.last_term, node.log.last_index):
+    candidate_log = (message.last_term, message.last_index)
+    if candidate_log != (node.log.last_term, node.log.last_index):
         return False
     return node.node_id < sender
 
 
-def _stand_back(node: Node, now_s: float) -> None:
-    """Let another voter, which was granted a pre-vote, be elected."""
+def _defer_election(node: Node, now_s: float) -> None:
+    """Wait for the election of a voter that was granted a pre-vote."""
     if node.role == PRE_CANDIDATE:
         node.role = FOLLOWER
-    node.election_at_s = max(node.election_at_s, now_s + YIELD_S)
+    node.election_at_s = max(node.election_at_s, now_s + ELECTION_DEFER_S)
 
 
-def on_ask_vote(
-    node: Node, sender: str, message: AskVote, now_s: float
+def on_request_vote(
+    node: Node, sender: str, message: RequestVote, now_s: float
 ) -> list[Effect]:
-    """Give or refuse a vote.
+    """Grant or refuse a vote.
 
-    While a leader was heard of late the request is ignored, term and all:
-    that is what the leader's lease rests on.
+    The request and its term are ignored while there was recent contact with
+    a leader: the leader's lease depends on that.
     """
-    if not message.handed and not _nobody_leads(node, now_s):
+    if not message.leadership_transfer and not _no_active_lease(node, now_s):
         return []
-    if message.pre:
+    if message.pre_vote:
         granted = message.term > node.term and _is_up_to_date(node, message)
-        granted = granted and not _goes_first(node, sender, message, now_s)
+        granted = granted and not _has_priority(node, sender, message, now_s)
         if granted:
-            _stand_back(node, now_s)
-        return [Send(sender, Vote(message.term, True, granted))]
+            _defer_election(node, now_s)
+        return [Send(sender, VoteReply(message.term, True, granted))]
     effects: list[Effect] = []
     if message.term > node.term:
         effects += replication.adopt_term(node, message.term, now_s)
@@ -233,19 +251,19 @@
     )
     if granted:
         node.voted_for = sender
-        restart_timer(node, now_s)
+        reset_election_timer(node, now_s)
         effects.append(SaveVote(node.term, sender))
-    return effects + [Send(sender, Vote(node.term, False, granted))]
+    return effects + [Send(sender, VoteReply(node.term, False, granted))]
 
 
-def on_vote(
-    node: Node, sender: str, message: Vote, now_s: float
+def on_vote_reply(
+    node: Node, sender: str, message: VoteReply, now_s: float
 ) -> list[Effect]:
     """Count a vote."""
-    if not message.pre and message.term > node.term:
+    if not message.pre_vote and message.term > node.term:
         return replication.adopt_term(node, message.term, now_s)
-    expected = node.term + 1 if message.pre else node.term
-    role = PRE_CANDIDATE if message.pre else CANDIDATE
+    expected = node.term + 1 if message.pre_vote else node.term
+    role = PRE_CANDIDATE if message.pre_vote else CANDIDATE
     if node.role != role or message.term != expected:
         return []
     if not message.granted or sender not in node.config.voters:
@@ -253,6 +271,6 @@
     node.votes.add(sender)
     if len(node.votes) < node.quorum():
         return []
-    if message.pre:
-        return _begin_election(node, False, now_s)
-    return replication.begin_to_lead(node, now_s)
+    if message.pre_vote:
+        return _start_election(node, False, now_s)
+    return replication.become_leader(node, now_s)
--- a/mountridge/control/changes.py
+++ b/mountridge/control/changes.py
@@ -48,7 +48,7 @@
         node = self.replica.node
         now_s = self.app.now_s()
         lines = [
-            f'term {node.term}, commit {node.commit}, '
+            f'term {node.term}, commit {node.commit_index}, '
             f'leader {node.leader_id or "unknown"}'
         ]
         for node_id, address in sorted(node.config.addresses().items()):
@@ -56,7 +56,7 @@
             state = ''
             peer = node.peers.get(node_id)
             if peer:
-                behind = node.log.last_index - peer.match
+                behind = node.log.last_index - peer.match_index
                 age_s = min(999.0, now_s - peer.acked_sent_s)
                 state = f', {behind} behind, heard {age_s:.1f} s ago'
             lines.append(f'{node_id} {kind} at {address}{state}')
@@ -73,7 +73,7 @@
         if known not in (None, message.address):
             raise errors.RefusedChange(f'{reply.text} is there, at {known}')
         if known is None:
-            added = config.join(reply.text, message.address, '')
+            added = config.with_controller(reply.text, message.address, '')
             await self.replica.change_config(added)
         # Else the call was sent again, since its answer was late.
         return f'{reply.text} is a learner'
@@ -113,8 +113,10 @@
 
     async def _transfer(self, message: messages.Admin) -> str:
         node = self.replica.node
-        target = message.name or replication.best_voter(node, self.app.now_s())
+        target = message.name or replication.best_transfer_target(
+            node, self.app.now_s()
+        )
         if target not in node.config.voters or target == node.node_id:
             raise errors.RefusedChange(f'{target or "no one"} can take over')
-        self.replica.put(consensus.HandOver(target))
+        self.replica.submit_event(consensus.TransferLeadership(target))
         return f'leadership is handed to {target}'
--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -138,7 +138,11 @@
     if key == node.node_id:
         return False
     peer = node.peers.get(key)
-    heard_s = max(node.led_s, peer.acked_sent_s) if peer else node.led_s
+    heard_s = (
+        max(node.leader_since_s, peer.acked_sent_s)
+        if peer
+        else node.leader_since_s
+    )
     return now_s - heard_s > SILENT_VOTER_S
 
 
@@ -198,7 +202,7 @@
                 config = self.replica.node.config
                 await self.replica.change_config(config.without(known[0]))
         config = self.replica.node.config
-        joined = config.join(join.node_id, join.address, join.hall)
+        joined = config.with_controller(join.node_id, join.address, join.hall)
         await self.replica.change_config(joined)
 
     async def ask_to_join(self) -> None:
@@ -266,7 +270,7 @@
         if node.config.halls.get(node.node_id, '') != hall:
             # A leader does not ask to join, and an older log tells no halls.
             address = self.app.settings['bind']
-            return node.config.join(node.node_id, address, hall)
+            return node.config.with_controller(node.node_id, address, hall)
         now_s = self.app.now_s()
         return next_config(node, self._most_voters, self._hall_losses, now_s)
 
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -73,7 +73,7 @@
         held = self.machine.instances.get(instance_id)
         return held.born_ms if held else 0
 
-    def on_role(self, role: consensus.Role) -> None:
+    def on_role(self, role: consensus.RoleChanged) -> None:
         """Begin a term with no knowledge of earlier leaders' leases."""
         self.leases = leases.LeaseTable(
             self.app.now_s(), self.app.settings['lease']['lease_s']
@@ -274,7 +274,7 @@
 
     async def table(self, peer, _: messages.ReadTable) -> messages.TableReply:
         """Return the newest table, its log, and what is in force."""
-        await self.replica.confirm()
+        await self.replica.confirm_leadership()
         now_s = self.app.now_s()
         machine = self.machine
         index = machine.versions[-1].index if machine.versions else 0
@@ -296,7 +296,7 @@
         self.replica.check_leader()
         if put.version <= self.machine.routes_version:
             # Held already, or overtaken: confirmed, but not written again.
-            await self.replica.confirm()
+            await self.replica.confirm_leadership()
             return messages.RoutesReply(self.machine.routes_version, b'')
         logger.info('routes offered', version=put.version)
         reply = await self.propose(
@@ -309,7 +309,7 @@
         self, peer, _: messages.ReadRoutes
     ) -> messages.RoutesReply:
         """Return the newest routes document, confirmed by a quorum."""
-        await self.replica.confirm()
+        await self.replica.confirm_leadership()
         return self.machine.routes()
 
     async def claim(self, peer, claim: messages.Claim) -> messages.ClaimReply:
@@ -341,7 +341,7 @@
             'role': self.replica.node.role,
             'term': self.replica.node.term,
             'leader': self.replica.node.leader_id,
-            'commit': self.replica.node.commit,
+            'commit': self.replica.node.commit_index,
             'config': self.replica.node.config._asdict(),
             'index': self.machine.view.index,
             'table_version': self.machine.version,
@@ -403,7 +403,7 @@
     app.tasks += [controller.replica.run, controller.watch]
     app.handlers[messages.RankReport] = controller.groups.on_report
     app.tasks += [controller.expire, controller.tell_loads]
-    app.drain.append(controller.replica.hand_over)
+    app.drain.append(controller.replica.transfer_leadership)
     app.dumpers['controller'] = controller.dump
     return controller
 
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -37,7 +37,8 @@
     ),
     Mutant(
         'votes while a leader is heard', 'elections',
-        'if not message.handed and not _nobody_leads(node, now_s):',
+        'if not message.leadership_transfer and not _no_active_lease('
+        'node, now_s):',
         'if False:',
         'consensus',
     ),
@@ -51,18 +52,19 @@
     ),
     Mutant(
         'an answer to an earlier start counts', 'elections',
-        'if message.start_id != node.start_id or sender not in node.may_lead:',
-        'if sender not in node.may_lead:', 'consensus',
+        'message.start_id != node.start_id\n        or sender not in',
+        'sender not in', 'consensus',
     ),
     Mutant(
         'a vote before the leader has said that it does not lead',
-        'elections', 'and node.knows_leader and not node.may_lead:',
-        'and node.knows_leader:', 'consensus',
+        'elections', 'and node.possible_leaders_known\n        and not '
+        'node.possible_leaders\n', 'and node.possible_leaders_known\n',
+        'consensus',
     ),
     Mutant(
         'a vote where nothing tells who led', 'elections',
-        'node.knows_leader = node.term == node.log.last_term',
-        'node.knows_leader = True', 'consensus',
+        'node.possible_leaders_known = node.term == node.log.last_term',
+        'node.possible_leaders_known = True', 'consensus',
     ),
     Mutant(
         'who led is guessed behind a snapshot', 'elections',
@@ -71,23 +73,24 @@
     ),
     Mutant(
         'one that starts anew does not ask who leads', 'elections',
-        'return [Send(voter, started) for voter in sorted(node.may_lead)]',
+        'return [Send(voter, query) for voter in '
+        'sorted(node.possible_leaders)]',
         'return []', 'consensus',
     ),
     Mutant(
         'a box speaks for the identities of others', 'replicas',
         "message.to.partition('.')[0] == self.app.name", 'True', 'consensus',
-        'speaks for',
+        'replies for',
     ),
     Mutant(
         'votes for a shorter log', 'elections',
-        'return theirs >= (node.log.last_term, node.log.last_index)',
+        'return candidate_log >= (node.log.last_term, node.log.last_index)',
         'return True', 'consensus',
     ),
     Mutant(
         'a vote at once after a restart', 'elections',
-        'node.may_lead = _may_lead(node.log) - {node.node_id}',
-        'node.may_lead = set()',
+        'node.possible_leaders = _possible_leaders(node.log) - {node.node_id}',
+        'node.possible_leaders = set()',
         'consensus',
     ),
     Mutant(
@@ -97,42 +100,45 @@
     ),
     Mutant(
         'commitment of earlier terms', 'replication',
-        'if index <= node.commit or node.log.term_at(index) != node.term:',
-        'if index <= node.commit:', 'consensus',
+        'if index <= node.commit_index or node.log.term_at(index) != '
+        'node.term:',
+        'if index <= node.commit_index:', 'consensus',
     ),
     Mutant(
         'the leader counts what it has not synced', 'replication',
-        'node.synced if voter == node.node_id else',
-        'node.log.last_index if voter == node.node_id else', 'consensus',
+        'node.synced_index\n            if voter == node.node_id',
+        'node.log.last_index\n            if voter == node.node_id',
+        'consensus',
     ),
     Mutant(
         'a follower answers before its sync', 'replication',
-        'return effects + [Send(sender, answer)]\n\n\ndef _fits',
-        'return effects + [Send(sender, answer, early=True)]\n\n\ndef _fits',
+        'return effects + [Send(sender, answer)]\n\n\ndef _match_log',
+        'return effects + [Send(sender, answer, before_sync=True)]\n\n\n'
+        'def _match_log',
         'consensus',
     ),
     Mutant(
         'the lease goes on during a hand-over', 'replication',
-        'if node.role != LEADER or node.handing_to:',
-        'if node.role != LEADER:', 'consensus', 'handed',
+        'if node.role != LEADER or node.transfer_target:',
+        'if node.role != LEADER:', 'consensus', 'transfer',
     ),
     Mutant(
         'the lease does not end', 'replication',
-        'return now_s < quorum_time(node, now_s) + span_s', 'return True',
+        'return now_s < quorum_ack_time(node, now_s) + span_s', 'return True',
         'consensus',
     ),
     Mutant(
         'reads that no quorum confirms', 'replication',
-        'if asked_s <= confirmed_s]', ']', 'consensus',
+        '        if requested_s <= confirmed_s\n', '', 'consensus',
     ),
     Mutant(
         'check-quorum before the first answers', 'replication',
-        'heard_s = max(node.led_s, quorum_time(node, now_s))',
-        'heard_s = quorum_time(node, now_s)', 'consensus',
+        'contact_s = max(node.leader_since_s, quorum_ack_time(node, now_s))',
+        'contact_s = quorum_ack_time(node, now_s)', 'consensus',
     ),
     Mutant(
         'a voter with no learner stage', 'replication',
-        'if behind > CAUGHT_UP:', 'if False:', 'consensus',
+        'if behind > MAX_LEARNER_LAG:', 'if False:', 'consensus',
     ),
     Mutant(
         'two voters changed at once', 'consensus',
@@ -149,7 +155,8 @@
     ),
     Mutant(
         'damage cut like a torn tail', 'storage',
-        'if _frame_at(data, later) is not None:', 'if False:', 'storage',
+        'if _decode_frame_at(data, next_magic) is not None:', 'if False:',
+        'storage',
     ),
     Mutant(
         'writes after a failed one', 'storage',
@@ -158,13 +165,13 @@
     ),
     Mutant(
         'half a frame left on a full disk', 'storage',
-        '            self._journal.truncate(self._good_bytes)\n'
-        '            self._journal.seek(self._good_bytes)\n        except',
+        '            self._journal.truncate(self._valid_bytes)\n'
+        '            self._journal.seek(self._valid_bytes)\n        except',
         '            pass\n        except', 'storage',
     ),
     Mutant(
         'a full disk that is final', 'storage',
-        'if problem.errno in NO_ROOM:', 'if False:', 'storage',
+        'if problem.errno in DISK_FULL_ERRNOS:', 'if False:', 'storage',
     ),
     Mutant(
         'a full disk that ends the process', 'replicas',
@@ -396,8 +403,8 @@
     ),
     Mutant(
         'entry: answers only to known addresses', 'replicas',
-        'address = address or self._senders.get(effect.to)', '', 'entry',
-        'lost disk',
+        'address = address or self._reply_addresses.get(effect.to)', '',
+        'entry', 'lost disk',
     ),
     Mutant(
         'entry: a lower version of routes', 'statemachine',
@@ -1030,7 +1037,7 @@
     ),
     Mutant(
         'losses: an answer is not held', 'leadership',
-        'await self.replica.stepped()', 'break', 'losses',
+        'await self.replica.wait_for_step()', 'break', 'losses',
         'A controller tells',
     ),
     Mutant(
@@ -1040,23 +1047,24 @@
     ),
     Mutant(
         'losses: voters stand at random times', 'replication',
-        'wait_s = STAGGER_S * (1 + place + node.rng.random() / 4)',
+        'wait_s = ELECTION_STAGGER_S * (1 + position + node.rng.random() / 4)',
         'wait_s = node.timing.election_s * node.rng.random()', 'losses',
         'the next leader is there soon',
     ),
     Mutant(
         'losses: a lost pre-vote costs an election time', 'elections',
-        'span_s = node.timing.heartbeat_s * 2**node.pre_votes',
+        'span_s = node.timing.heartbeat_s * 2**node.pre_vote_attempts',
         'span_s = 2 * node.timing.election_s', 'losses', 'asks again soon',
     ),
     Mutant(
         'losses: two pre-votes at once are both granted', 'elections',
-        'granted = granted and not _goes_first(node, sender, message, now_s)',
+        'granted = granted and not '
+        '_has_priority(node, sender, message, now_s)',
         'pass', 'losses', 'at the same moment',
     ),
     Mutant(
         'losses: who granted a pre-vote stands too', 'elections',
-        '            _stand_back(node, now_s)\n', '            pass\n',
+        '            _defer_election(node, now_s)\n', '            pass\n',
         'losses', 'at the same moment',
     ),
     Mutant(
@@ -1148,7 +1156,8 @@
     ),
     Mutant(
         'halls: a leader tells what no quorum confirms', 'halloffice',
-        '        await self._replica.confirm()\n', '', 'halls', 'deposed',
+        '        await self._replica.confirm_leadership()\n', '', 'halls',
+        'deposed',
     ),
     Mutant(
         'halls: an order of any age is sent', 'hallorders',
