--- a/features/lives.feature
+++ b/features/lives.feature
@@ -4,7 +4,7 @@
   # clock begins at 1000 s. A registration is ID ADDRESS START INCARNATION.
   Scenario Outline: <what>
     Given an empty registry
-    When it receives <messages>
+    When the registry receives <messages>
     Then it has registered <registered>, also with a new leader for each message
 
     Examples: Start times under one id
@@ -64,7 +64,7 @@
 
   Scenario: A leader remembers sequence numbers of unchanged heartbeats
     Given an empty registry
-    When it receives a X 0 1, a X 0 9, a X 0 4, a X 0 6 draining
+    When the registry receives a X 0 1, a X 0 9, a X 0 4, a X 0 6 draining
     Then it has registered a X 0 1 with one leader for all messages
 
   Scenario Outline: A <message> of an earlier incarnation that is committed late
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -85,7 +85,7 @@
     context.worlds = [lives_world.World(), lives_world.World()]
 
 
-@when('it receives {received}')
+@when('the registry receives {received}')
 def receive(context, received):
     steady, changing = context.worlds
     for message in received.split(', '):
