--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -28,7 +28,7 @@
 from adapter import api, wire  # noqa: E402,H306
 from adapter import engine as platform_engine  # noqa: E402,H306
 
-SPELLINGS = (entryapi.NATIVE, api.SPELLING)
+SPELLINGS = (entryapi.NATIVE, api.WIRE_NAMES)
 ADDRESSES = {'X': '10.0.0.1:80', 'Y': '10.0.0.2:80'}
 LETTERS = {address: letter for letter, address in ADDRESSES.items()}
 
