--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,14 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Ports on loopback that nobody else takes before a process binds them.
-
-A port that the kernel names as free may be given to an outgoing connection,
-or to whoever asks next, until the process that is to listen has started: 17
-of 4,800 were taken after 0.5 s, with eight systems and 1,000 connections a
-second beside. So each process that hands out ports holds a block of its own,
-below the range from which the kernel takes those of connections. A block
-comes with a network of loopback addresses, for what listens on the same ports
-of many hosts.
+"""Allocates loopback ports that stay free until a process binds them.
+
+A port that the kernel picks as free may be given to an outgoing connection
+or to another process before the intended process listens on it. So each
+process that allocates ports locks a block of its own, below the kernel's
+range of ephemeral ports. A block comes with a network of loopback addresses,
+for processes that listen on the same ports of many hosts.
 """
 
 import fcntl
@@ -19,41 +17,42 @@
 
 __all__ = ['free_port', 'network']
 
-#: Blocks lie below 32768, where the kernel's range begins by default.
+#: Blocks end below 32768, the default start of the kernel's ephemeral range.
 FIRST_PORT = 12000
 BLOCKS = 100
-#: More than one process hands out in its life: a scenario takes some 15.
+#: A process that uses up a block locks another one.
 BLOCK_PORTS = 200
-#: Networks 127.1 and up, one a block; most programs use 127.0 alone.
+#: Networks from 127.1 up, one per block; other programs mostly use 127.0.
 FIRST_NETWORK = 1
 
-#: The files whose locks hold this process's blocks until it ends, by number.
-_held: dict[int, typing.IO] = {}
+#: Locked files of this process's blocks by number; kept open until it ends.
+_locked_files: dict[int, typing.IO] = {}
 _ports: typing.Iterator[int] = iter(())
 
 
 def free_port() -> int:
-    """Return a port of this process's block that nobody listens on.
+    """Return an unused port of this process's block.
 
-    :raises OSError: no block is left.
+    :raises OSError: all blocks are locked by other processes.
     """
     global _ports
     while True:
         for port in _ports:
             if _is_free(port):
                 return port
-        first = FIRST_PORT + _take_block() * BLOCK_PORTS
+        first = FIRST_PORT + _lock_block() * BLOCK_PORTS
         _ports = iter(range(first, first + BLOCK_PORTS))
 
 
 def network() -> str:
-    """Return what the loopback addresses of this process begin with.
+    """Return the prefix of the loopback addresses of this process.
 
-    Hosts 1 to 254 of it listen on any port and meet no other process's.
+    Addresses with hosts 1 to 254 may listen on any port: no other process
+    uses this prefix.
 
-    :raises OSError: no block is left.
+    :raises OSError: all blocks are locked by other processes.
     """
-    number = next(iter(_held)) if _held else _take_block()
+    number = next(iter(_locked_files)) if _locked_files else _lock_block()
     return f'127.{FIRST_NETWORK + number}.7.'
 
 
@@ -67,8 +66,8 @@
         return True
 
 
-def _take_block() -> int:
-    """Return the number of a block that no other process holds."""
+def _lock_block() -> int:
+    """Lock a block that no other process uses and return its number."""
     folder = pathlib.Path(tempfile.gettempdir()) / 'mountridge-ports'
     folder.mkdir(exist_ok=True)
     for number in range(BLOCKS):
@@ -78,6 +77,6 @@
         except BlockingIOError:
             lock.close()
             continue
-        _held[number] = lock
+        _locked_files[number] = lock
         return number
-    raise OSError(f'all {BLOCKS} blocks of ports are held')
+    raise OSError(f'all {BLOCKS} blocks of ports are in use')
