--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A group of model engines in lock-step: passes, slots, experts, orders.
+"""Emulates a group of model engines that run forward passes in lock-step.
 
-What it leaves out: prefix caches, moves of memory, models and adapters. All
-times are arguments, and all chance comes from one seeded generator, so that
-scenarios run it on virtual time and the lab on real time.
+Prefix caches, KV cache transfers, models and adapters are not emulated. All
+times are arguments, and all random numbers come from one seeded generator, so
+that scenarios run the group on virtual time and the lab on real time.
 """
 
 import collections
@@ -18,36 +18,36 @@
 
 
 class EngineSheet(typing.NamedTuple):
-    """What the engines of a group are."""
+    """Size and cost model of the engines of a group."""
 
     ranks: int = 4
-    slots: int = 4
-    step_s: float = 0.006  # one token step
-    per_run_s: float = 0.0007  # and for each request that writes
-    stride: int = 5  # token steps of a pass; an event holds its tokens
-    chunk: int = 512  # prompt tokens read in a token step at most
-    read_per_s: float = 60000.0
-    memory_tokens: int = 186000
-    sets: int = 2
-    experts: int = 16
-    places: int = 5
-    spare: int = 2
-    expert_share: float = 0.85  # of a step, for the most loaded rank
-    copy_s: float = 0.04  # for one expert of a map that is prepared
-    form_s: float = 0.6
+    slots: int = 4  # requests that a rank processes concurrently
+    step_s: float = 0.006  # duration of a token step with balanced experts
+    decode_s: float = 0.0007  # added to a token step per decoding request
+    steps_per_pass: int = 5  # token steps; one event has the tokens of a pass
+    prefill_chunk: int = 512  # most prompt tokens processed in a token step
+    prefill_per_s: float = 60000.0  # prompt tokens per second
+    memory_tokens: int = 186000  # capacity of the KV cache
+    sets: int = 2  # sets of layers, each with an expert map of its own
+    experts: int = 16  # in each set
+    places: int = 5  # experts that a rank can hold, in each set
+    spare: int = 2  # most experts that a map change can add, in each set
+    expert_share: float = 0.85  # part of `step_s` that grows with the skew
+    copy_s: float = 0.04  # to copy one expert while a map is prepared
+    form_s: float = 0.6  # to form the group again
 
 
 class Run:
-    """One request at a rank: what is still to be read and written."""
+    """One request in an engine, with its remaining prompt and output."""
 
     def __init__(self, prompt: int, output: int, first_event: int = 0):
-        self.to_read = prompt
-        self.to_write = output
-        self.tokens = prompt
-        self.events = first_event
-        self.fresh: list[int] = []  # numbers of events not taken yet
+        self.prompt_left = prompt
+        self.output_left = output
+        self.tokens = prompt  # in the KV cache
+        self.events = first_event  # number of the newest event
+        self.unsent: list[int] = []  # numbers of events not sent yet
         self.done = False
-        self.cut = False
+        self.aborted = False
 
 
 class Rank:
@@ -57,26 +57,26 @@
         self.number = number
         self.waiting: collections.deque[Run] = collections.deque()
         self.running: list[Run] = []
-        self.held = held  # experts in use, by set
+        self.held = held  # experts of the map in use, by set
         self.map_version = 0
         self.prepared = ranks.NO_VERSION
         self.prepared_map: list[list[list[int]]] = []
-        self.ready_s = 0.0
+        self.ready_s = 0.0  # when the prepared map is copied
         self.armed = ranks.NO_VERSION
         self.armed_step = ranks.NO_VERSION
         self.held_step = ranks.NO_VERSION
         self.newest = 0  # highest version ever prepared
-        self.counts: list[int] = []
+        self.counts: list[int] = []  # selections, by set and expert
         self.slow = 1.0
         self.alive = True
 
     def tokens(self) -> int:
-        """Return the tokens in memory."""
+        """Return the tokens in the KV cache."""
         return sum(run.tokens for run in self.running)
 
 
 class Group:
-    """Ranks that make every pass together."""
+    """Ranks that run every forward pass together."""
 
     def __init__(self, sheet: EngineSheet, rng: random.Random):
         self.sheet = sheet
@@ -84,47 +84,47 @@
         self.step = 0
         self.epoch = 0
         self.open_at_s = 0.0
-        self.mixed_passes = 0
+        self.mixed_passes = 0  # whose ranks used different maps
         self.held_s = 0.0
         self.ranks: list[Rank] = []
-        #: Unix time of each engine's start; 0 for the first.
+        #: Start time of each engine; 0 until it restarts.
         self.born_ms = [0] * sheet.ranks
         self.popularity = [1.0] * (sheet.sets * sheet.experts)
         self.reform(0.0)
 
     def reform(self, now_s: float) -> None:
-        """Begin a new epoch: the first map, and nothing else of before."""
+        """Start a new epoch: reset the maps and abort all requests."""
         sheet = self.sheet
         self.epoch += 1
         self.open_at_s = now_s + (sheet.form_s if self.epoch > 1 else 0.0)
         for rank in self.ranks:
             for run in [*rank.running, *rank.waiting]:
-                run.cut = True
+                run.aborted = True
         self.ranks = []
         for number in range(sheet.ranks):
-            dealt = list(range(number, sheet.experts, sheet.ranks))
-            rank = Rank(number, [list(dealt) for _ in range(sheet.sets)])
+            own = list(range(number, sheet.experts, sheet.ranks))
+            rank = Rank(number, [list(own) for _ in range(sheet.sets)])
             rank.counts = [0] * (sheet.sets * sheet.experts)
             self.ranks.append(rank)
 
     def restart(self, number: int, born_ms: int, now_s: float) -> None:
-        """Let a rank crash and start again under its id."""
+        """Restart a rank under the same id; the group forms again."""
         self.born_ms[number] = born_ms
         self.reform(now_s)
 
     def shift_demand(self) -> None:
-        """Let other experts be chosen most."""
+        """Change at random which experts are selected most often."""
         self.popularity = [
             self.rng.paretovariate(1.2) for _ in self.popularity
         ]
 
     def is_open(self, now_s: float) -> bool:
-        """Return whether the group makes passes."""
+        """Return whether the group can run passes."""
         alive = all(rank.alive for rank in self.ranks)
         return alive and now_s >= self.open_at_s
 
     def state(self, number: int, now_s: float) -> ranks.RankState:
-        """Return what a rank says of itself."""
+        """Return the state that a rank reports."""
         rank = self.ranks[number]
         copied = rank.prepared if now_s >= rank.ready_s else ranks.NO_VERSION
         return ranks.RankState(
@@ -151,26 +151,28 @@
     def follow(
         self, number: int, order: ranks.RankOrder, now_s: float
     ) -> None:
-        """Carry out an order, or refuse what does not fit.
+        """Carry out an order to a rank.
 
-        :raises RefusedChange: with the reason.
+        :raises RefusedChange: the order does not fit the rank's state.
         """
         if order.epoch != self.epoch:
-            raise errors.RefusedChange(f'this is epoch {self.epoch}')
+            raise errors.RefusedChange(
+                f'order for epoch {order.epoch} in epoch {self.epoch}'
+            )
         rank = self.ranks[number]
         if order.kind == ranks.PREPARE:
             self._prepare(rank, order, now_s)
         elif order.kind == ranks.ARM:
             self._arm(rank, order, now_s)
         elif order.kind == ranks.HOLD:
-            self._refuse_begun(order.step)
+            self._check_not_started(order.step)
             rank.held_step = order.step
         elif order.kind == ranks.GO and rank.held_step == order.step:
             rank.held_step = ranks.NO_VERSION
 
-    def _refuse_begun(self, step: int) -> None:
+    def _check_not_started(self, step: int) -> None:
         if step <= self.step:
-            raise errors.RefusedChange(f'pass {step} has begun')
+            raise errors.RefusedChange(f'pass {step} has already started')
 
     def _prepare(
         self, rank: Rank, order: ranks.RankOrder, now_s: float
@@ -178,33 +180,41 @@
         if order.version == rank.prepared:
             return
         if order.version <= rank.newest:
-            raise errors.RefusedChange('an older version')
+            raise errors.RefusedChange(
+                f'version {order.version} is older than {rank.newest}'
+            )
         if rank.armed != ranks.NO_VERSION:
-            raise errors.RefusedChange('armed')
-        fresh = 0
+            raise errors.RefusedChange(f'version {rank.armed} is armed')
+        copies = 0
         for before, by_rank in zip(rank.held, order.placed):
             new = set(by_rank[rank.number]) - set(before)
             if len(new) > self.sheet.spare:
-                raise errors.RefusedChange('too many new experts')
-            fresh += len(new)
+                raise errors.RefusedChange(
+                    f'{len(new)} new experts exceed the {self.sheet.spare}'
+                    ' spare places'
+                )
+            copies += len(new)
         rank.newest = rank.prepared = order.version
         rank.prepared_map = order.placed
-        rank.ready_s = now_s + fresh * self.sheet.copy_s
+        rank.ready_s = now_s + copies * self.sheet.copy_s
 
     def _arm(self, rank: Rank, order: ranks.RankOrder, now_s: float) -> None:
         if rank.armed == order.version and rank.armed_step == order.step:
             return
-        self._refuse_begun(order.step)
+        self._check_not_started(order.step)
         if rank.prepared != order.version or now_s < rank.ready_s:
-            raise errors.RefusedChange('not prepared')
+            raise errors.RefusedChange(
+                f'version {order.version} is not prepared'
+            )
         rank.armed, rank.armed_step = order.version, order.step
 
     # Passes.
 
     def begin_pass(self, now_s: float) -> float | None:
-        """Begin the next pass and return how long it takes, in seconds.
+        """Start the next pass and return its duration in seconds.
 
-        None where the group is not open, is held, or has nothing to do.
+        Returns None if the group is not open, the pass is held, or there are
+        no requests.
         """
         if not self.is_open(now_s):
             return None
@@ -216,10 +226,10 @@
             return None
         self.step += 1
         for rank in self.ranks:
-            self._take_armed(rank)
+            self._switch_map(rank)
         if len({rank.map_version for rank in self.ranks}) > 1:
             self.mixed_passes += 1
-        return self._length_s()
+        return self._duration_s()
 
     def _admit(self, rank: Rank) -> None:
         sheet = self.sheet
@@ -228,7 +238,8 @@
                 return
             rank.running.append(rank.waiting.popleft())
 
-    def _take_armed(self, rank: Rank) -> None:
+    def _switch_map(self, rank: Rank) -> None:
+        """Use the armed map if it is armed for this pass."""
         if rank.armed_step != self.step:
             return
         rank.held = [
@@ -237,27 +248,30 @@
         rank.map_version = rank.armed
         rank.armed = rank.armed_step = ranks.NO_VERSION
 
-    def _length_s(self) -> float:
+    def _duration_s(self) -> float:
         sheet = self.sheet
-        own_s = max(self._own_s(rank) for rank in self.ranks)
-        skew = self._choose_experts()
-        steps_s = sheet.stride * sheet.step_s
+        requests_s = max(self._requests_s(rank) for rank in self.ranks)
+        skew = self._select_experts()
+        steps_s = sheet.steps_per_pass * sheet.step_s
         return (
             steps_s * (1 - sheet.expert_share + sheet.expert_share * skew)
-            + own_s
+            + requests_s
         )
 
-    def _own_s(self, rank: Rank) -> float:
+    def _requests_s(self, rank: Rank) -> float:
+        """Return the time that a rank needs for its requests in a pass."""
         sheet = self.sheet
-        reading = [run for run in rank.running if run.to_read]
-        budget = sheet.chunk * sheet.stride
-        read = min(budget, sum(run.to_read for run in reading))
-        writing = len(rank.running) - len(reading)
-        own_s = read / sheet.read_per_s
-        return rank.slow * (own_s + writing * sheet.per_run_s * sheet.stride)
-
-    def _choose_experts(self) -> float:
-        """Count choices; return the most loaded rank over the mean."""
+        prefilling = [run for run in rank.running if run.prompt_left]
+        budget = sheet.prefill_chunk * sheet.steps_per_pass
+        tokens = min(budget, sum(run.prompt_left for run in prefilling))
+        decoding = len(rank.running) - len(prefilling)
+        prefill_s = tokens / sheet.prefill_per_s
+        return rank.slow * (
+            prefill_s + decoding * sheet.decode_s * sheet.steps_per_pass
+        )
+
+    def _select_experts(self) -> float:
+        """Count selections; return the skew (largest load / mean load)."""
         sheet = self.sheet
         skews = []
         for number in range(sheet.sets):
@@ -270,8 +284,13 @@
             loads = []
             for rank in self.ranks:
                 for expert, weight in enumerate(weights):
-                    part = weight / total * len(rank.running) * sheet.stride
-                    rank.counts[first + expert] += round(100 * part)
+                    mean = (
+                        weight
+                        / total
+                        * len(rank.running)
+                        * sheet.steps_per_pass
+                    )
+                    rank.counts[first + expert] += round(100 * mean)
                 loads.append(
                     sum(weights[e] / holders[e] for e in rank.held[number])
                 )
@@ -279,21 +298,23 @@
         return sum(skews) / len(skews)
 
     def end_pass(self) -> None:
-        """End the pass: prompts are read on, and tokens written."""
+        """Finish the pass: advance prefills and emit an event per decode."""
         for rank in self.ranks:
-            budget = self.sheet.chunk * self.sheet.stride
+            budget = self.sheet.prefill_chunk * self.sheet.steps_per_pass
             for run in rank.running:
-                if run.to_read:
-                    read = min(budget, run.to_read)
-                    run.to_read -= read
-                    budget -= read
-                    if run.to_read:
+                if run.prompt_left:
+                    processed = min(budget, run.prompt_left)
+                    run.prompt_left -= processed
+                    budget -= processed
+                    if run.prompt_left:
                         continue
-                run.to_write = max(0, run.to_write - self.sheet.stride)
-                run.tokens += self.sheet.stride
+                run.output_left = max(
+                    0, run.output_left - self.sheet.steps_per_pass
+                )
+                run.tokens += self.sheet.steps_per_pass
                 run.events += 1
-                run.fresh.append(run.events)
-                run.done = run.to_write == 0
+                run.unsent.append(run.events)
+                run.done = run.output_left == 0
             rank.running = [
-                r for r in rank.running if not r.done and not r.cut
+                r for r in rank.running if not r.done and not r.aborted
             ]
--- a/standins/engineserver.py
+++ b/standins/engineserver.py
@@ -100,7 +100,7 @@
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
         call = dialects.read_call(request, NAMES)
         first = int(call.last_event_id or 0)
-        left = call.output_tokens - first * self.group.sheet.stride
+        left = call.output_tokens - first * self.group.sheet.steps_per_pass
         run = engine.Run(call.prompt_tokens, max(1, left), first)
         # Resumed behind its last event: only the end is left to give.
         run.done = first > 0 and left <= 0
@@ -113,7 +113,7 @@
         try:
             await self._stream(number, run, responder, told)
         finally:
-            run.cut = True
+            run.aborted = True
             if run in rank.waiting:
                 rank.waiting.remove(run)
 
@@ -124,15 +124,15 @@
             return
         cut = self.rng.random() < fails.cut
         kind = (b'Content-Type', b'text/event-stream')
-        while not run.done or run.fresh:
+        while not run.done or run.unsent:
             await trio.sleep(IDLE_S)
-            if run.cut or (cut and run.events > 2):
+            if run.aborted or (cut and run.events > 2):
                 return
-            if run.fresh and not responder.started:
+            if run.unsent and not responder.started:
                 await responder.start(200, told + [kind])
-            for event in run.fresh:
+            for event in run.unsent:
                 await responder.send(b'id: %d\ndata: tokens\n\n' % event)
-            run.fresh.clear()
+            run.unsent.clear()
         await responder.finish()
 
 
