--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -18,7 +18,7 @@
 from mountridge.groups import engines, groups
 from standins import engine
 
-SHEET = engine.EngineSheet()
+SHEET = engine.EngineParameters()
 #: Requests that each rank always has, running or waiting.
 REQUESTS_PER_RANK = 3
 #: Interval at which a stalled group is checked.
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -14,10 +14,10 @@
 from mountridge import errors
 from mountridge.experts import ranks
 
-__all__ = ['EngineSheet', 'Group', 'Rank', 'Run']
+__all__ = ['EngineParameters', 'Group', 'Rank', 'Run']
 
 
-class EngineSheet(typing.NamedTuple):
+class EngineParameters(typing.NamedTuple):
     """Size and cost model of the engines of a group."""
 
     ranks: int = 4
@@ -78,8 +78,8 @@
 class Group:
     """Ranks that run every forward pass together."""
 
-    def __init__(self, sheet: EngineSheet, rng: random.Random):
-        self.sheet = sheet
+    def __init__(self, params: EngineParameters, rng: random.Random):
+        self.params = params
         self.rng = rng
         self.step = 0
         self.epoch = 0
@@ -88,23 +88,23 @@
         self.held_s = 0.0
         self.ranks: list[Rank] = []
         #: Start time of each engine; 0 until it restarts.
-        self.born_ms = [0] * sheet.ranks
-        self.popularity = [1.0] * (sheet.sets * sheet.experts)
+        self.born_ms = [0] * params.ranks
+        self.popularity = [1.0] * (params.sets * params.experts)
         self.reform(0.0)
 
     def reform(self, now_s: float) -> None:
         """Start a new epoch: reset the maps and abort all requests."""
-        sheet = self.sheet
+        params = self.params
         self.epoch += 1
-        self.open_at_s = now_s + (sheet.form_s if self.epoch > 1 else 0.0)
+        self.open_at_s = now_s + (params.form_s if self.epoch > 1 else 0.0)
         for rank in self.ranks:
             for run in [*rank.running, *rank.waiting]:
                 run.aborted = True
         self.ranks = []
-        for number in range(sheet.ranks):
-            own = list(range(number, sheet.experts, sheet.ranks))
-            rank = Rank(number, [list(own) for _ in range(sheet.sets)])
-            rank.counts = [0] * (sheet.sets * sheet.experts)
+        for number in range(params.ranks):
+            own = list(range(number, params.experts, params.ranks))
+            rank = Rank(number, [list(own) for _ in range(params.sets)])
+            rank.counts = [0] * (params.sets * params.experts)
             self.ranks.append(rank)
 
     def restart(self, number: int, born_ms: int, now_s: float) -> None:
@@ -188,15 +188,15 @@
         copies = 0
         for before, by_rank in zip(rank.held, order.placed):
             new = set(by_rank[rank.number]) - set(before)
-            if len(new) > self.sheet.spare:
+            if len(new) > self.params.spare:
                 raise errors.RefusedChange(
-                    f'{len(new)} new experts exceed the {self.sheet.spare}'
+                    f'{len(new)} new experts exceed the {self.params.spare}'
                     ' spare places'
                 )
             copies += len(new)
         rank.newest = rank.prepared = order.version
         rank.prepared_map = order.placed
-        rank.ready_s = now_s + copies * self.sheet.copy_s
+        rank.ready_s = now_s + copies * self.params.copy_s
 
     def _arm(self, rank: Rank, order: ranks.RankOrder, now_s: float) -> None:
         if rank.armed == order.version and rank.armed_step == order.step:
@@ -232,9 +232,9 @@
         return self._duration_s()
 
     def _admit(self, rank: Rank) -> None:
-        sheet = self.sheet
-        while rank.waiting and len(rank.running) < sheet.slots:
-            if rank.tokens() + rank.waiting[0].tokens > sheet.memory_tokens:
+        params = self.params
+        while rank.waiting and len(rank.running) < params.slots:
+            if rank.tokens() + rank.waiting[0].tokens > params.memory_tokens:
                 return
             rank.running.append(rank.waiting.popleft())
 
@@ -249,34 +249,34 @@
         rank.armed = rank.armed_step = ranks.NO_VERSION
 
     def _duration_s(self) -> float:
-        sheet = self.sheet
+        params = self.params
         requests_s = max(self._requests_s(rank) for rank in self.ranks)
         skew = self._select_experts()
-        steps_s = sheet.steps_per_pass * sheet.step_s
+        steps_s = params.steps_per_pass * params.step_s
         return (
-            steps_s * (1 - sheet.expert_share + sheet.expert_share * skew)
+            steps_s * (1 - params.expert_share + params.expert_share * skew)
             + requests_s
         )
 
     def _requests_s(self, rank: Rank) -> float:
         """Return the time that a rank needs for its requests in a pass."""
-        sheet = self.sheet
+        params = self.params
         prefilling = [run for run in rank.running if run.prompt_left]
-        budget = sheet.prefill_chunk * sheet.steps_per_pass
+        budget = params.prefill_chunk * params.steps_per_pass
         tokens = min(budget, sum(run.prompt_left for run in prefilling))
         decoding = len(rank.running) - len(prefilling)
-        prefill_s = tokens / sheet.prefill_per_s
+        prefill_s = tokens / params.prefill_per_s
         return rank.slow * (
-            prefill_s + decoding * sheet.decode_s * sheet.steps_per_pass
+            prefill_s + decoding * params.decode_s * params.steps_per_pass
         )
 
     def _select_experts(self) -> float:
         """Count selections; return the skew (largest load / mean load)."""
-        sheet = self.sheet
+        params = self.params
         skews = []
-        for number in range(sheet.sets):
-            first = number * sheet.experts
-            weights = self.popularity[first : first + sheet.experts]
+        for number in range(params.sets):
+            first = number * params.experts
+            weights = self.popularity[first : first + params.experts]
             total = sum(weights)
             holders = collections.Counter(
                 e for rank in self.ranks for e in rank.held[number]
@@ -288,7 +288,7 @@
                         weight
                         / total
                         * len(rank.running)
-                        * sheet.steps_per_pass
+                        * params.steps_per_pass
                     )
                     rank.counts[first + expert] += round(100 * mean)
                 loads.append(
@@ -300,7 +300,7 @@
     def end_pass(self) -> None:
         """Finish the pass: advance prefills and emit an event per decode."""
         for rank in self.ranks:
-            budget = self.sheet.prefill_chunk * self.sheet.steps_per_pass
+            budget = self.params.prefill_chunk * self.params.steps_per_pass
             for run in rank.running:
                 if run.prompt_left:
                     processed = min(budget, run.prompt_left)
@@ -309,9 +309,9 @@
                     if run.prompt_left:
                         continue
                 run.output_left = max(
-                    0, run.output_left - self.sheet.steps_per_pass
+                    0, run.output_left - self.params.steps_per_pass
                 )
-                run.tokens += self.sheet.steps_per_pass
+                run.tokens += self.params.steps_per_pass
                 run.events += 1
                 run.unsent.append(run.events)
                 run.done = run.output_left == 0
--- a/standins/engineserver.py
+++ b/standins/engineserver.py
@@ -93,14 +93,14 @@
         rank = self.group.ranks[number]
         request_id = request.header(NAMES.request_id) or b''
         told = [(NAMES.request_id, request_id)]
-        if len(rank.waiting) >= 2 * self.group.sheet.slots:
+        if len(rank.waiting) >= 2 * self.group.params.slots:
             told.append((NAMES.not_run, b'1'))
             await httpserver.json_reply(responder, 503, {}, told)
             return
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
         call = dialects.read_call(request, NAMES)
         first = int(call.last_event_id or 0)
-        left = call.output_tokens - first * self.group.sheet.steps_per_pass
+        left = call.output_tokens - first * self.group.params.steps_per_pass
         run = engine.Run(call.prompt_tokens, max(1, left), first)
         # Resumed behind its last event: only the end is left to give.
         run.done = first > 0 and left <= 0
--- a/standins/lab.py
+++ b/standins/lab.py
@@ -196,17 +196,17 @@
                     0.0,
                 ]
             )
-        sheet = engine.EngineSheet(ranks=self.load['ranks'])
-        llm = [sheet.slots, sheet.memory_tokens, sheet.experts]
-        llm += [sheet.places, sheet.spare]
+        params = engine.EngineParameters(ranks=self.load['ranks'])
+        llm = [params.slots, params.memory_tokens, params.experts]
+        llm += [params.places, params.spare]
         services = [['llm', '/h', 64, llm], ['plain', '/h', 64, None]]
         limits = [16384, 1 << 20, 3000.0, 15000.0]
         return json.dumps([1, listed, services, limits, None]).encode()
 
     async def run_runners(self, nursery: trio.Nursery) -> engine.Group:
         """Start the emulated runners and their heartbeats."""
-        sheet = engine.EngineSheet(ranks=self.load['ranks'])
-        group = engine.Group(sheet, self.rng)
+        params = engine.EngineParameters(ranks=self.load['ranks'])
+        group = engine.Group(params, self.rng)
         served = engineserver.Ranks(group, self.rng)
         nursery.start_soon(served.passes)
         nursery.start_soon(self.restart_ranks, group)
@@ -215,7 +215,7 @@
                 f'{self.host}{100 + n}:9000', f'i-{n}', 'llm',
                 served.handler(n), functools.partial(_started, group, n),
             )
-            for n in range(sheet.ranks)
+            for n in range(params.ranks)
         ]  # fmt: skip
         for number in range(2):
             plain = engineserver.Plain(number, 0.02, self.rng)
@@ -235,7 +235,7 @@
                 key,
                 service,
                 address,
-                sheet.slots,
+                params.slots,
                 told,
             )
         return group
--- a/tools/soak/operators.py
+++ b/tools/soak/operators.py
@@ -38,7 +38,7 @@
     listed += [_route(f'at-{n}') for n in range(first, version + 1)]
     if variant:
         listed.append(_route(variant))
-    sheet = engine.EngineSheet()
+    sheet = engine.EngineParameters()
     llm = [sheet.slots, sheet.memory_tokens, sheet.experts]
     llm += [sheet.places, sheet.spare]
     cold = [sizes['cold_s'], sizes['cold_per_s']]
--- a/tools/soak/runners.py
+++ b/tools/soak/runners.py
@@ -132,7 +132,7 @@
 def build(made: fleet.Fleet, watch: checks.Watch, rng: random.Random) -> Built:
     """Return the runners of a run, none of which lives yet."""
     sizes = made.sizes
-    group = engine.Group(engine.EngineSheet(ranks=sizes['ranks']), rng)
+    group = engine.Group(engine.EngineParameters(ranks=sizes['ranks']), rng)
     group.shift_demand()
     ranks = engineserver.Ranks(group, rng)
     watch.runs.append(ranks.runs)
