--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -106,7 +106,7 @@
         await trio.sleep(0.001)
         if world.rng.random() >= world.order_loss:
             now_s = trio.current_time()
-            world.group.follow(self.number, order, now_s)
+            world.group.execute_order(self.number, order, now_s)
             freezes = world.freezing and order.kind == ranks.HOLD
             if freezes and not self.is_remote:
                 world.frozen_until_s[self.number] = now_s + FROZEN_S
@@ -120,7 +120,7 @@
         await trio.sleep(self.world.rng.uniform(2, 12))
         try:
             now_s = trio.current_time()
-            self.world.group.follow(self.number, order, now_s)
+            self.world.group.execute_order(self.number, order, now_s)
         except errors.RefusedChange:
             # The engine refuses an order that no longer fits its state.
             return
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -148,7 +148,7 @@
 
     # Orders.
 
-    def follow(
+    def execute_order(
         self, number: int, order: ranks.RankOrder, now_s: float
     ) -> None:
         """Carry out an order to a rank.
--- a/standins/engineserver.py
+++ b/standins/engineserver.py
@@ -81,7 +81,7 @@
         else:
             try:
                 order = _ORDER.decode(request.body)
-                self.group.follow(number, order, trio.current_time())
+                self.group.execute_order(number, order, trio.current_time())
             except errors.RefusedChange as problem:
                 await httpserver.refuse(responder, problem)
                 return
