--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -236,7 +236,7 @@
                 while (
                     len(rank.running) + len(rank.waiting) < REQUESTS_PER_RANK
                 ):
-                    rank.waiting.append(engine.Run(200, 100))
+                    rank.waiting.append(engine.Sequence(200, 100))
             duration_s = self.group.begin_pass(trio.current_time())
             if duration_s is None:
                 self.stalled_s += POLL_S
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -14,7 +14,7 @@
 from mountridge import errors
 from mountridge.experts import ranks
 
-__all__ = ['EngineParameters', 'Group', 'Rank', 'Run']
+__all__ = ['EngineParameters', 'Group', 'Rank', 'Sequence']
 
 
 class EngineParameters(typing.NamedTuple):
@@ -37,7 +37,7 @@
     form_s: float = 0.6  # to form the group again
 
 
-class Run:
+class Sequence:
     """One request in an engine, with its remaining prompt and output."""
 
     def __init__(self, prompt: int, output: int, first_event: int = 0):
@@ -55,8 +55,8 @@
 
     def __init__(self, number: int, held: list[list[int]]):
         self.number = number
-        self.waiting: collections.deque[Run] = collections.deque()
-        self.running: list[Run] = []
+        self.waiting: collections.deque[Sequence] = collections.deque()
+        self.running: list[Sequence] = []
         self.held = held  # experts of the map in use, by set
         self.map_version = 0
         self.prepared = ranks.NO_VERSION
@@ -72,7 +72,7 @@
 
     def tokens(self) -> int:
         """Return the tokens in the KV cache."""
-        return sum(run.tokens for run in self.running)
+        return sum(sequence.tokens for sequence in self.running)
 
 
 class Group:
@@ -98,8 +98,8 @@
         self.epoch += 1
         self.open_at_s = now_s + (params.form_s if self.epoch > 1 else 0.0)
         for rank in self.ranks:
-            for run in [*rank.running, *rank.waiting]:
-                run.aborted = True
+            for sequence in [*rank.running, *rank.waiting]:
+                sequence.aborted = True
         self.ranks = []
         for number in range(params.ranks):
             own = list(range(number, params.experts, params.ranks))
@@ -261,9 +261,13 @@
     def _requests_s(self, rank: Rank) -> float:
         """Return the time that a rank needs for its requests in a pass."""
         params = self.params
-        prefilling = [run for run in rank.running if run.prompt_left]
+        prefilling = [
+            sequence for sequence in rank.running if sequence.prompt_left
+        ]
         budget = params.prefill_chunk * params.steps_per_pass
-        tokens = min(budget, sum(run.prompt_left for run in prefilling))
+        tokens = min(
+            budget, sum(sequence.prompt_left for sequence in prefilling)
+        )
         decoding = len(rank.running) - len(prefilling)
         prefill_s = tokens / params.prefill_per_s
         return rank.slow * (
@@ -301,20 +305,20 @@
         """Finish the pass: advance prefills and emit an event per decode."""
         for rank in self.ranks:
             budget = self.params.prefill_chunk * self.params.steps_per_pass
-            for run in rank.running:
-                if run.prompt_left:
-                    processed = min(budget, run.prompt_left)
-                    run.prompt_left -= processed
+            for sequence in rank.running:
+                if sequence.prompt_left:
+                    processed = min(budget, sequence.prompt_left)
+                    sequence.prompt_left -= processed
                     budget -= processed
-                    if run.prompt_left:
+                    if sequence.prompt_left:
                         continue
-                run.output_left = max(
-                    0, run.output_left - self.params.steps_per_pass
+                sequence.output_left = max(
+                    0, sequence.output_left - self.params.steps_per_pass
                 )
-                run.tokens += self.params.steps_per_pass
-                run.events += 1
-                run.unsent.append(run.events)
-                run.done = run.output_left == 0
+                sequence.tokens += self.params.steps_per_pass
+                sequence.events += 1
+                sequence.unsent.append(sequence.events)
+                sequence.done = sequence.output_left == 0
             rank.running = [
                 r for r in rank.running if not r.done and not r.aborted
             ]
--- a/standins/engineserver.py
+++ b/standins/engineserver.py
@@ -101,7 +101,7 @@
         call = dialects.read_call(request, NAMES)
         first = int(call.last_event_id or 0)
         left = call.output_tokens - first * self.group.params.steps_per_pass
-        run = engine.Run(call.prompt_tokens, max(1, left), first)
+        run = engine.Sequence(call.prompt_tokens, max(1, left), first)
         # Resumed behind its last event: only the end is left to give.
         run.done = first > 0 and left <= 0
         if run.done:
