--- a/standins/engine.py
+++ b/standins/engine.py
@@ -67,7 +67,7 @@
         self.held_step = ranks.NO_VERSION
         self.newest = 0  # highest version ever prepared
         self.counts: list[int] = []  # selections, by set and expert
-        self.slow = 1.0
+        self.slowdown = 1.0
         self.alive = True
 
     def tokens(self) -> int:
@@ -142,7 +142,7 @@
             len(rank.running),
             len(rank.waiting),
             rank.tokens(),
-            rank.slow,
+            rank.slowdown,
             self.born_ms[number],
         )
 
@@ -270,7 +270,7 @@
         )
         decoding = len(rank.running) - len(prefilling)
         prefill_s = tokens / params.prefill_per_s
-        return rank.slow * (
+        return rank.slowdown * (
             prefill_s + decoding * params.decode_s * params.steps_per_pass
         )
 
--- a/tools/soak/faults.py
+++ b/tools/soak/faults.py
@@ -208,9 +208,9 @@
         group = self.built.group
         number = fault.pick % len(group.ranks)
         with self._harm(f'link-i-{number}'):
-            group.ranks[number].slow = 1 + MOST_SLOW * fault.strength
+            group.ranks[number].slowdown = 1 + MOST_SLOW * fault.strength
             await trio.sleep(fault.span_s)
-            group.ranks[number].slow = 1.0
+            group.ranks[number].slowdown = 1.0
 
     async def _shift(self, fault: Fault) -> None:
         self.built.group.shift_demand()
