--- a/standins/engineserver.py
+++ b/standins/engineserver.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The emulated runners over HTTP: a group of engines and plain services.
+"""HTTP servers of emulated runners: a group of engines, and plain services.
 
-Requests and answers are spelt in the project's own dialect. Faults are
-switched by `Faults`; each runner registers itself with heartbeats.
+They use the native wire format. `Faults` makes a runner fail; `register`
+sends its heartbeats.
 """
 
 import json
@@ -22,54 +22,58 @@
 __all__ = ['Faults', 'Plain', 'Ranks', 'register']
 
 NAMES = dialects.NATIVE.headers
-IDLE_S = 0.005
+#: Interval of polls for new events, and for requests while a group is idle.
+POLL_S = 0.005
 _ORDER = msgspec.json.Decoder(ranks.RankOrder)
 
 
 class Faults:
-    """What a runner does wrong; shares of its requests, 0 to 1."""
+    """Faults of a runner, as fractions of its requests from 0 to 1.
+
+    The soak sets these fields by the names of its faults.
+    """
 
     def __init__(self) -> None:
         self.errors = 0.0  # answered 500
-        self.cut = 0.0  # broken off midway
-        self.lost = 0.0  # run, and not answered
-        self.silent = False  # nothing is answered at all
+        self.cut = 0.0  # stopped in the middle of the answer
+        self.lost = 0.0  # processed but not answered
+        self.silent = False  # no request is answered
 
 
 class Ranks:
-    """The engines of one group, each a runner of its own."""
+    """Serves the engines of one group, each as a runner."""
 
     def __init__(self, group: engine.Group, rng: random.Random):
         self.group = group
         self.rng = rng
         self.faults = [Faults() for _ in group.ranks]
-        #: How often each request was begun, by its id.
+        #: How often each request was started, by its id.
         self.runs: dict[bytes, int] = {}
 
-    async def passes(self) -> None:
-        """Make passes for ever."""
+    async def run_passes(self) -> None:
+        """Run passes until cancelled."""
         while True:
-            length_s = self.group.begin_pass(trio.current_time())
-            if length_s is None:
-                await trio.sleep(IDLE_S)
+            duration_s = self.group.begin_pass(trio.current_time())
+            if duration_s is None:
+                await trio.sleep(POLL_S)
                 continue
-            await trio.sleep(length_s)
+            await trio.sleep(duration_s)
             self.group.end_pass()
 
     def handler(self, number: int) -> httpserver.Handler:
-        """Return what answers requests and calls to one rank."""
+        """Return the handler of requests and API calls to one rank."""
 
         async def handle(request, responder) -> None:
             if self.faults[number].silent:
                 await trio.sleep_forever()
             if request.path.startswith(b'/v1/'):
-                await self._call(number, request, responder)
+                await self._handle_api_call(number, request, responder)
             else:
-                await self._serve(number, request, responder)
+                await self._handle_request(number, request, responder)
 
         return handle
 
-    async def _call(self, number: int, request, responder) -> None:
+    async def _handle_api_call(self, number: int, request, responder) -> None:
         rank = self.group.ranks[number]
         body: typing.Any = {}
         if request.path == b'/v1/state':
@@ -85,59 +89,59 @@
             except errors.RefusedChange as problem:
                 await httpserver.refuse(responder, problem)
                 return
-        named = [(NAMES.instance_id, b'i-%d' % number)]
+        headers = [(NAMES.instance_id, b'i-%d' % number)]
         data = msgspec.json.encode(body)
-        await httpserver.json_reply(responder, 200, data, named)
+        await httpserver.json_reply(responder, 200, data, headers)
 
-    async def _serve(self, number: int, request, responder) -> None:
+    async def _handle_request(self, number: int, request, responder) -> None:
         rank = self.group.ranks[number]
         request_id = request.header(NAMES.request_id) or b''
-        told = [(NAMES.request_id, request_id)]
+        headers = [(NAMES.request_id, request_id)]
         if len(rank.waiting) >= 2 * self.group.params.slots:
-            told.append((NAMES.not_run, b'1'))
-            await httpserver.json_reply(responder, 503, {}, told)
+            headers.append((NAMES.not_run, b'1'))
+            await httpserver.json_reply(responder, 503, {}, headers)
             return
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
         call = dialects.read_call(request, NAMES)
         first = int(call.last_event_id or 0)
         left = call.output_tokens - first * self.group.params.steps_per_pass
-        run = engine.Sequence(call.prompt_tokens, max(1, left), first)
-        # Resumed behind its last event: only the end is left to give.
-        run.done = first > 0 and left <= 0
-        if run.done:
-            kind = (b'Content-Type', b'text/event-stream')
-            await responder.start(200, told + [kind])
+        sequence = engine.Sequence(call.prompt_tokens, max(1, left), first)
+        # Resumed after the last event: the stream has no more events.
+        sequence.done = first > 0 and left <= 0
+        if sequence.done:
+            content_type = (b'Content-Type', b'text/event-stream')
+            await responder.start(200, headers + [content_type])
             await responder.finish()
             return
-        rank.waiting.append(run)
+        rank.waiting.append(sequence)
         try:
-            await self._stream(number, run, responder, told)
+            await self._stream(number, sequence, responder, headers)
         finally:
-            run.aborted = True
-            if run in rank.waiting:
-                rank.waiting.remove(run)
-
-    async def _stream(self, number: int, run, responder, told) -> None:
-        fails = self.faults[number]
-        if self.rng.random() < fails.errors:
-            await httpserver.json_reply(responder, 500, {}, told)
+            sequence.aborted = True
+            if sequence in rank.waiting:
+                rank.waiting.remove(sequence)
+
+    async def _stream(self, number: int, sequence, responder, headers) -> None:
+        faults = self.faults[number]
+        if self.rng.random() < faults.errors:
+            await httpserver.json_reply(responder, 500, {}, headers)
             return
-        cut = self.rng.random() < fails.cut
-        kind = (b'Content-Type', b'text/event-stream')
-        while not run.done or run.unsent:
-            await trio.sleep(IDLE_S)
-            if run.aborted or (cut and run.events > 2):
+        cut = self.rng.random() < faults.cut
+        content_type = (b'Content-Type', b'text/event-stream')
+        while not sequence.done or sequence.unsent:
+            await trio.sleep(POLL_S)
+            if sequence.aborted or (cut and sequence.events > 2):
                 return
-            if run.unsent and not responder.started:
-                await responder.start(200, told + [kind])
-            for event in run.unsent:
+            if sequence.unsent and not responder.started:
+                await responder.start(200, headers + [content_type])
+            for event in sequence.unsent:
                 await responder.send(b'id: %d\ndata: tokens\n\n' % event)
-            run.unsent.clear()
+            sequence.unsent.clear()
         await responder.finish()
 
 
 class Plain:
-    """One runner of a plain service."""
+    """Serves one runner of a plain service."""
 
     def __init__(self, number: int, work_s: float, rng: random.Random):
         self.number = number
@@ -146,44 +150,44 @@
         self.faults = Faults()
         self.runs: dict[bytes, int] = {}
         self.born_ms = 0
-        self.count = 0
+        self.seq = 0
 
     def restart(self, now_s: float) -> None:
-        """Start again under the same id, and know nothing of before."""
+        """Start again under the same id, without any previous state."""
         self.born_ms = round(now_s * 1000)
-        self.count = 0
+        self.seq = 0
         self.runs.clear()
 
     def heartbeat(self, address: str, slots: int) -> bytes:
-        """Return the body of its next heartbeat."""
-        self.count += 1
-        return heartbeat('plain', address, self.count, slots, self.born_ms)
+        """Return the body of the next heartbeat."""
+        self.seq += 1
+        return heartbeat('plain', address, self.seq, slots, self.born_ms)
 
     async def handle(self, request, responder) -> None:
-        """Answer one request after its work."""
+        """Answer a request after 0.5 to 1.5 times ``work_s``."""
         request_id = request.header(NAMES.request_id) or b''
-        told = [(NAMES.request_id, request_id)]
+        headers = [(NAMES.request_id, request_id)]
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
         await trio.sleep(self.work_s * (0.5 + self.rng.random()))
         if self.faults.silent or self.rng.random() < self.faults.lost:
             await trio.sleep_forever()
         status = 500 if self.rng.random() < self.faults.errors else 200
         body = {'by': self.number, 'path': request.path.decode()}
-        await httpserver.json_reply(responder, status, body, told)
+        await httpserver.json_reply(responder, status, body, headers)
 
 
 def heartbeat(
     service: str, address: str, seq: int, slots: int, born_ms: int = 0
 ) -> bytes:
-    """Return the body of a heartbeat; 0 tells no start."""
-    told = _told(service, address, seq, slots)
+    """Return the body of a heartbeat, without a start time if it is 0."""
+    fields = _required_fields(service, address, seq, slots)
     return json.dumps(
-        told | ({'born_ms': born_ms} if born_ms else {})
+        fields | ({'born_ms': born_ms} if born_ms else {})
     ).encode()
 
 
-def _told(service: str, address: str, seq: int, slots: int) -> dict:
-    """Return what each heartbeat must say."""
+def _required_fields(service: str, address: str, seq: int, slots: int) -> dict:
+    """Return the fields that every heartbeat must have."""
     return {
         'service': service,
         'address': address,
@@ -196,30 +200,31 @@
 
 async def register(
     post: typing.Callable,
-    key: str,
+    instance_id: str,
     service: str,
     address: str,
     slots: int,
-    told: typing.Callable[[], dict] = dict,
-    heard: typing.Callable[[dict], None] = lambda body: None,
+    more_fields: typing.Callable[[], dict] = dict,
+    on_acknowledged: typing.Callable[[dict], None] = lambda body: None,
 ) -> None:
-    """Send a runner's heartbeats for ever.
+    """Send a runner's heartbeats until cancelled.
 
-    ``told`` gives what it says besides; with a later ``born_ms`` it counts
-    anew. ``heard`` takes each heartbeat that was acknowledged.
+    ``more_fields`` returns optional fields of the next heartbeat; a later
+    ``born_ms`` among them restarts the sequence numbers. ``on_acknowledged``
+    is called with each heartbeat that was answered with status 200.
     """
     seq = born_ms = 0
     while True:
-        besides = told()
-        seq = 1 if besides.get('born_ms', 0) > born_ms else seq + 1
-        born_ms = besides.get('born_ms', 0)
-        body = _told(service, address, seq, slots) | besides
-        path = b'/v1/instances/%s/heartbeat' % key.encode()
+        more = more_fields()
+        seq = 1 if more.get('born_ms', 0) > born_ms else seq + 1
+        born_ms = more.get('born_ms', 0)
+        body = _required_fields(service, address, seq, slots) | more
+        path = b'/v1/instances/%s/heartbeat' % instance_id.encode()
         if await post(path, json.dumps(body).encode()) == 200:
-            heard(body)
+            on_acknowledged(body)
         await trio.sleep(1.0)
 
 
 def limits() -> routes.Limits:
-    """Return the limits of the emulated runners: the defaults."""
+    """Return the default limits, for the servers of emulated runners."""
     return routes.Limits()
--- a/standins/lab.py
+++ b/standins/lab.py
@@ -208,7 +208,7 @@
         params = engine.EngineParameters(ranks=self.load['ranks'])
         group = engine.Group(params, self.rng)
         served = engineserver.Ranks(group, self.rng)
-        nursery.start_soon(served.passes)
+        nursery.start_soon(served.run_passes)
         nursery.start_soon(self.restart_ranks, group)
         runners = [
             (
--- a/tools/soak/session.py
+++ b/tools/soak/session.py
@@ -47,7 +47,7 @@
         async with trio.open_nursery() as nursery:
             for link in self.faults.links.values():
                 nursery.start_soon(link.run)
-            nursery.start_soon(self.built.ranks.passes)
+            nursery.start_soon(self.built.ranks.run_passes)
             for runner in self.built.runners:
                 nursery.start_soon(runner.run, self.made, self.watch)
             with trio.fail_after(START_S):
