--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -786,7 +786,7 @@
     context.world = lives_world.World()
     context.entry = _Entry(context.world)
     context.known = backends.Backends('g')
-    context.plain = engineserver.Plain(0, 0.02, context.rng)
+    context.plain = engineserver.PlainRunner(0, 0.02, context.rng)
     _beat(context)
 
 
--- a/standins/engineserver.py
+++ b/standins/engineserver.py
@@ -19,7 +19,7 @@
 from mountridge.net import dialects, httpserver
 from standins import engine
 
-__all__ = ['Faults', 'Plain', 'Ranks', 'register']
+__all__ = ['EngineRunners', 'Faults', 'PlainRunner', 'register']
 
 NAMES = dialects.NATIVE.headers
 #: Interval of polls for new events, and for requests while a group is idle.
@@ -40,7 +40,7 @@
         self.silent = False  # no request is answered
 
 
-class Ranks:
+class EngineRunners:
     """Serves the engines of one group, each as a runner."""
 
     def __init__(self, group: engine.Group, rng: random.Random):
@@ -140,7 +140,7 @@
         await responder.finish()
 
 
-class Plain:
+class PlainRunner:
     """Serves one runner of a plain service."""
 
     def __init__(self, number: int, work_s: float, rng: random.Random):
--- a/standins/lab.py
+++ b/standins/lab.py
@@ -207,7 +207,7 @@
         """Start the emulated runners and their heartbeats."""
         params = engine.EngineParameters(ranks=self.load['ranks'])
         group = engine.Group(params, self.rng)
-        served = engineserver.Ranks(group, self.rng)
+        served = engineserver.EngineRunners(group, self.rng)
         nursery.start_soon(served.run_passes)
         nursery.start_soon(self.restart_ranks, group)
         runners = [
@@ -218,7 +218,7 @@
             for n in range(params.ranks)
         ]  # fmt: skip
         for number in range(2):
-            plain = engineserver.Plain(number, 0.02, self.rng)
+            plain = engineserver.PlainRunner(number, 0.02, self.rng)
             address = f'{self.host}{200 + number}:9000'
             told = functools.partial(dict, hall=HALLS[number])
             runners.append(
--- a/tools/soak/runners.py
+++ b/tools/soak/runners.py
@@ -126,7 +126,7 @@
 
     runners: list[Runner]
     group: engine.Group
-    ranks: engineserver.Ranks
+    ranks: engineserver.EngineRunners
 
 
 def build(made: fleet.Fleet, watch: checks.Watch, rng: random.Random) -> Built:
@@ -134,7 +134,7 @@
     sizes = made.sizes
     group = engine.Group(engine.EngineParameters(ranks=sizes['ranks']), rng)
     group.shift_demand()
-    ranks = engineserver.Ranks(group, rng)
+    ranks = engineserver.EngineRunners(group, rng)
     watch.runs.append(ranks.runs)
     found: list[Runner] = []
 
@@ -145,7 +145,7 @@
     for n in range(sizes['ranks']):
         add(f'i-{n}', 'llm', 100 + n, ranks.handler(n), ranks.faults[n])
     for n in range(sizes['plains']):
-        plain = engineserver.Plain(n, PLAIN_WORK_S, rng)
+        plain = engineserver.PlainRunner(n, PLAIN_WORK_S, rng)
         watch.runs.append(plain.runs)
         add(f'p-{n}', 'plain', 150 + n, plain.handle, plain.faults)
     return Built(found, group, ranks)
