--- a/standins/runner.py
+++ b/standins/runner.py
@@ -1,10 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A stand-in runner: answers as a model engine does, with invented text.
+"""A simple emulated runner with an OpenAI-compatible chat API.
 
-It streams ``tokens`` words, ``gap_s`` apart, in server-sent events. A body
-field ``tokens`` or ``gap_s`` overrides it. It leaves out batching, caches
-and real models. Run it as ``python -m standins.runner IP:PORT NAME``.
+It streams a fixed number of words as server-sent events at a fixed interval;
+the body fields ``tokens`` and ``gap_s`` of a request override the defaults.
+It emulates no batching, caches or models. Run it as
+``python -m standins.runner IP:PORT NAME``.
 """
 
 import collections
@@ -40,7 +41,7 @@
     return b'data: ' + json.dumps(chunk).encode() + b'\n\n'
 
 
-async def _words(name: str, body: dict, counts: collections.Counter):
+async def _stream(name: str, body: dict, counts: collections.Counter):
     gap_s = body.get('gap_s', GAP_S)
     counts['running'] += 1
     try:
@@ -56,10 +57,10 @@
 
 
 def make_app(name: str) -> quart_trio.QuartTrio:
-    """Return the stand-in as an HTTP application."""
+    """Return the HTTP application of a runner."""
     app = quart_trio.QuartTrio('runner')
     counts: collections.Counter[str] = collections.Counter()
-    keys: collections.Counter[str] = collections.Counter()
+    marks: collections.Counter[str] = collections.Counter()
 
     @app.post('/v1/chat/completions')
     async def chat():
@@ -67,7 +68,7 @@
         counts['chat'] += 1
         if body.get('stream'):
             response = quart.Response(
-                _words(name, body, counts), content_type='text/event-stream'
+                _stream(name, body, counts), content_type='text/event-stream'
             )
             response.timeout = None
             return response
@@ -88,24 +89,24 @@
             ],
         }
 
-    @app.post('/v1/services/<path:rest>')
-    async def plain(rest: str):
+    @app.post('/v1/services/<path:service>')
+    async def plain(service: str):
         body = await quart.request.get_json(silent=True) or {}
         counts['plain'] += 1
         mark = str(body.get('mark', ''))
-        keys[mark] += 1
+        marks[mark] += 1
         await trio.sleep(body.get('work_s', 0.005))
-        return {'runner': name, 'service': rest, 'run': keys[mark]}
+        return {'runner': name, 'service': service, 'run': marks[mark]}
 
     @app.get('/counts')
     async def show():
-        return {'counts': dict(counts), 'marks': dict(keys)}
+        return {'counts': dict(counts), 'marks': dict(marks)}
 
     return app
 
 
 async def serve(address: str, name: str) -> None:
-    """Serve the stand-in at ``address`` until cancelled."""
+    """Serve a runner at ``address`` until cancelled."""
     config = hypercorn.config.Config()
     config.bind = [address]
     config.accesslog = None
