--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Small stand-ins for outside systems, and the demo that uses them."""
+"""Emulated runners, the demo, and tools that start real processes."""
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Starts mountridge's real processes on loopback, for demo, tests, bench.
+"""Runs real mountridge processes on loopback, for demo, tests and benches.
 
-Each process has its own settings file below one folder. A process is only
-ever signalled by the handle that started it.
+Each process has its own settings file in one folder. Signals go only to
+processes that were started here, through their `subprocess.Popen` objects.
 """
 
 import json
@@ -26,11 +26,15 @@
 
 __all__ = ['Cluster']
 
-START_S = 15.0
+#: Timeout for processes to start, to stop, or to reach an awaited state.
+TIMEOUT_S = 15.0
 
 
-def wait_for(check, limit_s: float = START_S, pause_s: float = 0.05):
-    """Return the first true result of ``check``, or raise TimeoutError."""
+def wait_for(check, limit_s: float = TIMEOUT_S, pause_s: float = 0.05):
+    """Return the first true result of ``check``.
+
+    :raises TimeoutError: there was none within ``limit_s``.
+    """
     end_s = time.monotonic() + limit_s
     while time.monotonic() < end_s:
         result = check()
@@ -41,7 +45,7 @@
 
 
 class Cluster:
-    """Processes, their settings and the addresses they use."""
+    """A set of processes, with their settings and addresses, by name."""
 
     def __init__(self, folder: str, keys_off: bool = False):
         self.folder = pathlib.Path(folder)
@@ -50,6 +54,7 @@
         self.processes: dict[str, subprocess.Popen] = {}
         self.settings: dict[str, dict] = {}
         self.controllers: dict[str, str] = {}
+        #: HTTP addresses (IP:PORT) of gateways and runners.
         self.http: dict[str, str] = {}
 
     def __enter__(self) -> 'Cluster':
@@ -60,14 +65,14 @@
 
     # Settings.
 
-    def plan(self, controllers: list[str]) -> None:
-        """Choose the controllers' addresses."""
+    def assign_addresses(self, controllers: list[str]) -> None:
+        """Assign an address to each of the first controllers."""
         for name in controllers:
             self.controllers[name] = f'tcp://127.0.0.1:{ports.free_port()}'
 
     def add_controllers(self, names: list[str]) -> None:
-        """Plan, initialize and start the first controllers."""
-        self.plan(names)
+        """Initialize and start the first controllers."""
+        self.assign_addresses(names)
         voters = {f'{n}.0': self.controllers[n] for n in names}
         for name in names:
             self.add('controller', name)
@@ -80,7 +85,11 @@
             self.start(name)
 
     def add(self, role: str, name: str, hall: str = 'north', **own) -> None:
-        """Write the settings of a process; ``own`` is its role's part."""
+        """Write the settings file of a process.
+
+        ``own`` are the settings of its role; ``top`` among them is a dict of
+        top-level settings.
+        """
         bind = self.controllers.get(
             name, f'tcp://127.0.0.1:{ports.free_port()}'
         )
@@ -114,13 +123,13 @@
     def start(
         self, name: str, file_bytes: int | None = None
     ) -> subprocess.Popen:
-        """Start a process; no file of its may pass ``file_bytes``."""
+        """Start a process; its files can't grow beyond ``file_bytes``."""
         role = self.settings[name]['role']
         args = ['-m', 'mountridge', role, str(self.path(name))]
         return self._spawn(name, args, file_bytes)
 
     def start_runner(self, name: str) -> str:
-        """Start a stand-in runner and return its address."""
+        """Start an emulated runner and return its URL."""
         address = self.http.get(name, f'127.0.0.1:{ports.free_port()}')
         self.http[name] = address
         self._spawn(name, ['-m', 'standins.runner', address, name])
@@ -129,17 +138,17 @@
     def _spawn(
         self, name: str, args: list[str], file_bytes: int | None = None
     ) -> subprocess.Popen:
-        def limit() -> None:
+        def limit_files() -> None:
             if file_bytes is not None:
-                most = (file_bytes, file_bytes)
-                resource.setrlimit(resource.RLIMIT_FSIZE, most)
+                limits = (file_bytes, file_bytes)
+                resource.setrlimit(resource.RLIMIT_FSIZE, limits)
 
         log = open(self.folder / f'{name}.log', 'ab')
         self.processes[name] = subprocess.Popen(
             [sys.executable, *args],
             stdout=log,
             stderr=log,
-            preexec_fn=limit,
+            preexec_fn=limit_files,
         )
         log.close()
         return self.processes[name]
@@ -149,17 +158,17 @@
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
+        """Kill a process with SIGKILL and wait for its end."""
         self.signal(name, signal.SIGKILL)
         self.processes[name].wait()
 
-    def stop(self, name: str, limit_s: float = START_S) -> int:
-        """Stop a process as planned and return its exit code."""
+    def stop(self, name: str, limit_s: float = TIMEOUT_S) -> int:
+        """Stop a process gracefully and return its exit code."""
         self.signal(name, signal.SIGTERM)
         return self.processes[name].wait(limit_s)
 
     def stop_all(self) -> None:
-        """End every process that still runs."""
+        """Kill every process that is still running."""
         running = [p for p in self.processes.values() if p.poll() is None]
         for process in running:
             process.send_signal(signal.SIGCONT)
@@ -167,10 +176,13 @@
         for process in running:
             process.wait()
 
-    # What operators and callers do.
+    # Operators and callers.
 
     def cli(self, *args: str, check: bool = True) -> str:
-        """Run a `mountridge` command as an operator, return its output."""
+        """Run a `mountridge` command as an operator and return its output.
+
+        :raises RuntimeError: it failed, if ``check`` is set.
+        """
         name = next(n for n in self.settings)
         done = subprocess.run(
             [sys.executable, '-m', 'mountridge', *args],
@@ -183,10 +195,10 @@
             raise RuntimeError(f'{args}: {done.stdout}{done.stderr}')
         return done.stdout
 
-    def put_table(self, sheet: str, base: int = 0) -> None:
-        """Put a sheet and wait until it is in force."""
+    def put_table(self, source: str, base: int = 0) -> None:
+        """Put a table (CSV) and wait until it is in force."""
         path = self.folder / 'table.csv'
-        path.write_text(sheet)
+        path.write_text(source)
         self.cli('table', 'put', '--base', str(base), '--wait', str(path))
 
     def dump(self, name: str) -> dict:
@@ -194,7 +206,7 @@
         return json.loads(self.cli('dump', name, self.settings[name]['bind']))
 
     def leader(self) -> str:
-        """Return the name of the controller that leads."""
+        """Return the name of the leading controller."""
 
         def find() -> str:
             shown = self.cli('controllers', 'status', check=False)
@@ -204,7 +216,7 @@
         return wait_for(find)
 
     def wait_ready(self, gateway: str, agents: int) -> None:
-        """Wait until a gateway serves and knows its agents."""
+        """Wait until a gateway is ready and knows this many runners."""
         url = f'http://{self.http[gateway]}/v1/address'
 
         def ready() -> bool:
