--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The demo: a whole system on loopback, one request of each kind."""
+"""Demo: runs a system on loopback and sends one request of each kind."""
 
 import json
 import pathlib
@@ -18,21 +18,21 @@
 
 def build(folder: str, controllers: int = 3) -> cluster.Cluster:
     """Start controllers, two gateways, two agents and their runners."""
-    made = cluster.Cluster(folder)
+    system = cluster.Cluster(folder)
     names = [f'c{n + 1}' for n in range(controllers)]
-    made.add_controllers(names)
+    system.add_controllers(names)
     services = ['drafts', 'assistant', 'alarm-relay', 'receipt-corrections']
     for number in (1, 2):
-        runner = made.start_runner(f'r{number}')
-        made.add('agent', f'a{number}', runner=runner, services=services)
-        made.start(f'a{number}')
-        made.add('gateway', f'g{number}')
-        made.start(f'g{number}')
-    return made
+        runner = system.start_runner(f'r{number}')
+        system.add('agent', f'a{number}', runner=runner, services=services)
+        system.start(f'a{number}')
+        system.add('gateway', f'g{number}')
+        system.start(f'g{number}')
+    return system
 
 
 def chat(address: str) -> str:
-    """Stream a chat answer, print it, and return its request id."""
+    """Stream a chat completion, print it, and return its request id."""
     body = {
         'model': 'drafts',
         'stream': True,
@@ -52,7 +52,7 @@
 
 
 def call(address: str, service: str, team: str, key: str = '') -> None:
-    """Call a plain service and print the answer."""
+    """Call a plain service and print the response."""
     headers = {'authorization': f'Bearer {team}'}
     if key:
         headers['idempotency-key'] = key
@@ -63,27 +63,27 @@
 
 
 def main() -> int:
-    """Run the demo; 0 where all went well."""
-    with tempfile.TemporaryDirectory() as folder, build(folder) as made:
-        made.put_table(SHEET.read_text())
-        made.wait_ready('g1', 2)
-        made.wait_ready('g2', 2)
-        found = httpx.get(f'http://{made.http["g1"]}/v1/address').json()
-        print(f'addresses to use: {found}')
-        address = found['addresses'][0]
+    """Run the demo and return the exit code, 0 on success."""
+    with tempfile.TemporaryDirectory() as folder, build(folder) as system:
+        system.put_table(SHEET.read_text())
+        system.wait_ready('g1', 2)
+        system.wait_ready('g2', 2)
+        answer = httpx.get(f'http://{system.http["g1"]}/v1/address').json()
+        print(f'gateway addresses: {answer}')
+        address = answer['addresses'][0]
         request_id = chat(address)
         call(address, 'alarm-relay', 'control-room')
         key = f'{cluster.time.time():.0f}-ticket-17'
-        for each in found['addresses']:
+        for each in answer['addresses']:
             call(each, 'receipt-corrections', 'receipts', key)
-        print('why:')
-        print(made.cli('ask', request_id))
+        print('decisions on the chat request:')
+        print(system.cli('ask', request_id))
         codes = {
-            name: made.stop(name)
-            for name in reversed(list(made.processes))
+            name: system.stop(name)
+            for name in reversed(list(system.processes))
             if not name.startswith('r')
         }
-        print(f'exit codes of planned stops: {codes}')
+        print(f'exit codes after graceful stops: {codes}')
         return max(abs(code) for code in codes.values())
 
 
