--- a/bench/state.py
+++ b/bench/state.py
@@ -98,7 +98,7 @@
 def idle() -> None:
     """Print what each process uses with no requests."""
     with demo.build(tempfile.mkdtemp()) as made:
-        made.put_table(demo.SHEET.read_text())
+        made.put_table(demo.TABLE.read_text())
         made.wait_ready('g1', 2)
         names = [n for n in made.processes if not n.startswith('r')]
         pids = {name: made.processes[name].pid for name in names}
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -13,7 +13,7 @@
 
 __all__ = ['main']
 
-SHEET = pathlib.Path(__file__).parent.parent / 'samples' / 'table.csv'
+TABLE = pathlib.Path(__file__).parent.parent / 'samples' / 'table.csv'
 
 
 def build(folder: str, controllers: int = 3) -> cluster.Cluster:
@@ -65,7 +65,7 @@
 def main() -> int:
     """Run the demo and return the exit code, 0 on success."""
     with tempfile.TemporaryDirectory() as folder, build(folder) as system:
-        system.put_table(SHEET.read_text())
+        system.put_table(TABLE.read_text())
         system.wait_ready('g1', 2)
         system.wait_ready('g2', 2)
         answer = httpx.get(f'http://{system.http["g1"]}/v1/address').json()
