--- a/standins/demo.py
+++ b/standins/demo.py
@@ -69,7 +69,7 @@
         system.wait_ready('g1', 2)
         system.wait_ready('g2', 2)
         answer = httpx.get(f'http://{system.http["g1"]}/v1/address').json()
-        print(f'gateway addresses: {answer}')
+        print(f'addresses to use: {answer}')
         address = answer['addresses'][0]
         request_id = chat(address)
         call(address, 'alarm-relay', 'control-room')
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -156,9 +156,7 @@
         :raises RefusedChange: the order does not fit the rank's state.
         """
         if order.epoch != self.epoch:
-            raise errors.RefusedChange(
-                f'order for epoch {order.epoch} in epoch {self.epoch}'
-            )
+            raise errors.RefusedChange(f'the current epoch is {self.epoch}')
         rank = self.ranks[number]
         if order.kind == ranks.PREPARE:
             self._prepare(rank, order, now_s)
@@ -180,18 +178,15 @@
         if order.version == rank.prepared:
             return
         if order.version <= rank.newest:
-            raise errors.RefusedChange(
-                f'version {order.version} is older than {rank.newest}'
-            )
+            raise errors.RefusedChange('a newer version has been prepared')
         if rank.armed != ranks.NO_VERSION:
-            raise errors.RefusedChange(f'version {rank.armed} is armed')
+            raise errors.RefusedChange('a version is armed')
         copies = 0
         for before, by_rank in zip(rank.held, order.placed):
             new = set(by_rank[rank.number]) - set(before)
             if len(new) > self.params.spare:
                 raise errors.RefusedChange(
-                    f'{len(new)} new experts exceed the {self.params.spare}'
-                    ' spare places'
+                    'more new experts than spare places'
                 )
             copies += len(new)
         rank.newest = rank.prepared = order.version
@@ -203,9 +198,7 @@
             return
         self._check_not_started(order.step)
         if rank.prepared != order.version or now_s < rank.ready_s:
-            raise errors.RefusedChange(
-                f'version {order.version} is not prepared'
-            )
+            raise errors.RefusedChange('the version is not prepared')
         rank.armed, rank.armed_step = order.version, order.step
 
     # Passes.
