--- a/standins/lab.py
+++ b/standins/lab.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A load tool: plays a described load on real processes over loopback.
+"""Load generator for a system of real processes on loopback.
 
 ``python -m standins.lab [samples/lab.yaml] [--plot FILE]`` starts entries
-and sidecars as processes, emulates runners, plays callers and an operator,
-and prints what was served, by kind. It ends only what it started.
+and sidecars as processes, emulates runners, callers and an operator, and
+prints the outcomes of requests by kind. It ends only what it started.
 """
 
 import functools
@@ -31,46 +31,49 @@
 __all__ = ['Lab', 'main']
 
 SAMPLE = pathlib.Path(__file__).parent.parent / 'samples' / 'lab.yaml'
-#: Addresses of the loopback net that the processes of the lab use.
+#: Prefix of the loopback addresses of the lab's processes.
 HOST = ports.network()
-#: The engines and one plain runner are in the first hall, another in the
-#: second.
+#: Halls of the plain runners; the engines are in the first one.
 HALLS = ('north', 'south')
-START_S = 20.0
-#: A control call is answered by then; a change of routes takes up to 3 s.
-ASK_S = 4.0
+#: Timeout until the first routes are accepted and served.
+START_TIMEOUT_S = 20.0
+#: Timeout of a control call; a change of routes takes up to 3 s.
+CALL_TIMEOUT_S = 4.0
 CONTROL_HEADERS = [(b'Host', b'control')]
 NAMES = dialects.NATIVE.headers
 
 
 class Kind(typing.NamedTuple):
-    """One kind of request of the load."""
+    """One kind of request, with the fields of the load's YAML file."""
 
     name: str
     service: str
     per_s: float
-    aim_ms: float
+    aim_ms: float  # target of the time to the first data
     deadline_ms: float
-    prompt: int
-    output: int
+    prompt: int  # tokens
+    output: int  # most tokens; 0 for a plain service
 
 
-class Seen:
-    """What became of the requests of one kind."""
+class Outcomes:
+    """Counts of the requests of one kind by outcome, and their latencies."""
 
     def __init__(self) -> None:
-        self.asked = self.in_aim = self.late = 0
+        self.sent = self.on_time = self.late = 0
         self.refused = self.failed = 0
-        self.first_ms = HdrHistogram(1, 60_000, 2)
+        self.first_ms = HdrHistogram(1, 60_000, 2)  # time to the first data
 
 
-def _started(group: engine.Group, rank: int) -> dict:
-    """Return what a rank's heartbeat says of its start."""
+def _start_time(group: engine.Group, rank: int) -> dict:
+    """Return the heartbeat field with the start time of a rank."""
     return {'born_ms': group.born_ms[rank]}
 
 
 class Lab:
-    """The processes, runners and callers of one load."""
+    """The processes, runners and callers of one load.
+
+    ``host`` is the prefix of their loopback addresses.
+    """
 
     def __init__(self, load: dict, folder: str, host: str = HOST):
         self.load = load
@@ -78,9 +81,9 @@
         self.folder = pathlib.Path(folder)
         self.rng = random.Random(load['seed'])
         self.kinds = [Kind(**each) for each in load['kinds']]
-        self.seen = {kind.name: Seen() for kind in self.kinds}
+        self.outcomes = {kind.name: Outcomes() for kind in self.kinds}
         self.processes: list[subprocess.Popen] = []
-        #: Numbers of the entries that the settings name as seeds.
+        #: Host numbers of the entries that the settings list as seeds.
         self.seeds = [1, 2, 3]
         self.pool = lasthop.Pool(NAMES, trio.current_time)
         self.control = f'{host}1:8002'
@@ -103,8 +106,8 @@
         path.write_text(yaml.safe_dump(merged))
         with open(self.folder / f'{name}.log', 'ab') as log:
             args = [sys.executable, '-m', 'mountridge', merged['role'], path]
-            made = subprocess.Popen(args, stdout=log, stderr=log)
-        self.processes.append(made)
+            process = subprocess.Popen(args, stdout=log, stderr=log)
+        self.processes.append(process)
 
     def start_entries(self, founding: bool) -> None:
         """Start all entries; the first three have a disk."""
@@ -112,7 +115,7 @@
             self.start_entry(number, founding)
 
     def start_entry(self, number: int, founding: bool) -> None:
-        """Start one entry, the first being number 0."""
+        """Start one entry; numbers start at 0."""
         host = f'{self.host}{number + 1}'
         entry = {
             'front': f'{host}:8000',
@@ -128,29 +131,29 @@
         self.start(f'entry-{number}', host, settings)
 
     def start_sidecars(self) -> None:
-        """Start a sidecar beside each emulated engine."""
+        """Start a sidecar for each emulated engine."""
         for number in range(self.load['ranks']):
             self.start_sidecar(number)
 
     def start_sidecar(self, number: int) -> None:
         """Start the sidecar of one rank."""
         host = f'{self.host}{100 + number}'
-        engine_at = {'engine': f'{host}:9000', 'report_s': 0.1}
-        settings = {'role': 'sidecar', 'sidecar': engine_at}
+        own = {'engine': f'{host}:9000', 'report_s': 0.1}
+        settings = {'role': 'sidecar', 'sidecar': own}
         self.start(f'sidecar-{number}', host, settings)
 
     def stop_all(self) -> None:
-        """End what was started, by its process ids."""
+        """Kill all processes that were started here."""
         for process in self.processes:
             process.kill()
         for process in self.processes:
             process.wait()
         self.processes.clear()
 
-    # Runners and the operator.
+    # Runners and operators.
 
     async def post(self, path: bytes, body: bytes) -> int:
-        """Send a control call; return its status, 503 where unreached."""
+        """Send a control call; return its status, 503 if unanswered."""
         return (await self.ask(self.control, path, body))[0]
 
     async def ask(
@@ -160,15 +163,15 @@
         body: bytes = b'',
         headers: list[tuple[bytes, bytes]] = CONTROL_HEADERS,
     ) -> tuple[int, bytes]:
-        """Send a call to a process; return its answer's status and body.
+        """Send a POST request; return the status and body of the response.
 
-        The status is 503 where it can't be reached, or not in time.
+        The status is 503 if there is no response before the timeout.
         """
-        sized = [*headers, (b'Content-Length', b'%d' % len(body))]
+        all_headers = [*headers, (b'Content-Length', b'%d' % len(body))]
         try:
-            with trio.move_on_after(ASK_S):
+            with trio.move_on_after(CALL_TIMEOUT_S):
                 async with self.pool.request(
-                    address, b'POST', path, sized, body, None
+                    address, b'POST', path, all_headers, body, None
                 ) as reply:
                     return reply.head.status, await reply.read_body()
         except errors.MountridgeError:
@@ -176,11 +179,11 @@
         return 503, b''
 
     def document(self) -> bytes:
-        """Return the routes document of the load."""
-        listed = []
+        """Return the routes document for the kinds of the load."""
+        routes = []
         for kind in self.kinds:
             streaming = kind.output > 0
-            listed.append(
+            routes.append(
                 [
                     kind.name,
                     'lab.example',
@@ -201,30 +204,30 @@
         llm += [params.places, params.spare]
         services = [['llm', '/h', 64, llm], ['plain', '/h', 64, None]]
         limits = [16384, 1 << 20, 3000.0, 15000.0]
-        return json.dumps([1, listed, services, limits, None]).encode()
+        return json.dumps([1, routes, services, limits, None]).encode()
 
     async def run_runners(self, nursery: trio.Nursery) -> engine.Group:
         """Start the emulated runners and their heartbeats."""
         params = engine.EngineParameters(ranks=self.load['ranks'])
         group = engine.Group(params, self.rng)
-        served = engineserver.EngineRunners(group, self.rng)
-        nursery.start_soon(served.run_passes)
+        engines = engineserver.EngineRunners(group, self.rng)
+        nursery.start_soon(engines.run_passes)
         nursery.start_soon(self.restart_ranks, group)
         runners = [
             (
                 f'{self.host}{100 + n}:9000', f'i-{n}', 'llm',
-                served.handler(n), functools.partial(_started, group, n),
+                engines.handler(n), functools.partial(_start_time, group, n),
             )
             for n in range(params.ranks)
         ]  # fmt: skip
         for number in range(2):
             plain = engineserver.PlainRunner(number, 0.02, self.rng)
             address = f'{self.host}{200 + number}:9000'
-            told = functools.partial(dict, hall=HALLS[number])
+            fields = functools.partial(dict, hall=HALLS[number])
             runners.append(
-                (address, f'p-{number}', 'plain', plain.handle, told)
+                (address, f'p-{number}', 'plain', plain.handle, fields)
             )
-        for address, key, service, handler, told in runners:
+        for address, instance_id, service, handler, fields in runners:
             server = httpserver.Server(
                 handler, engineserver.limits, lambda: False
             )
@@ -232,45 +235,45 @@
             nursery.start_soon(
                 engineserver.register,
                 self.post,
-                key,
+                instance_id,
                 service,
                 address,
                 params.slots,
-                told,
+                fields,
             )
         return group
 
     async def restart_ranks(self, group: engine.Group) -> None:
-        """Let a rank start again under its id, as often as the load says.
+        """Restart a random rank under its id every ``restart_s`` of the load.
 
-        All ranks then refuse until their group has formed anew.
+        The group runs no passes until it has formed again.
         """
-        rest_s = self.load.get('restart_s', math.inf)
+        interval_s = self.load.get('restart_s', math.inf)
         while True:
-            await trio.sleep(rest_s)
+            await trio.sleep(interval_s)
             number = self.rng.randrange(len(group.ranks))
             born_ms = round(time.time() * 1000)
             group.restart(number, born_ms, trio.current_time())
 
     async def drain(self, hall: str, at_s: float, for_s: float) -> None:
-        """Take a hall out of service for a while, as operators do."""
+        """Drain a hall as operators do, and restore it after ``for_s``."""
         await trio.sleep(at_s)
-        for suffix, rest_s in ((b'/drain', for_s), (b'/restore', 0.0)):
+        for suffix, pause_s in ((b'/drain', for_s), (b'/restore', 0.0)):
             path = b'/v1/halls/' + hall.encode() + suffix
-            began_s = trio.current_time()
+            start_s = trio.current_time()
             while await self.post(path, b'') != 200:
                 await trio.sleep(0.1)
-            took_s = trio.current_time() - began_s
-            print(f'{path.decode()}: acknowledged after {took_s:.3f} s')
-            await trio.sleep(rest_s)
+            duration_s = trio.current_time() - start_s
+            print(f'{path.decode()}: acknowledged after {duration_s:.3f} s')
+            await trio.sleep(pause_s)
 
     # Callers.
 
-    async def call(self, kind: Kind) -> None:
-        """Send one request and note what became of it."""
-        seen = self.seen[kind.name]
-        seen.asked += 1
-        began_s = trio.current_time()
+    async def send_request(self, kind: Kind) -> None:
+        """Send one request and count its outcome."""
+        outcomes = self.outcomes[kind.name]
+        outcomes.sent += 1
+        start_s = trio.current_time()
         request_id = f'{self.rng.getrandbits(64):016x}'
         headers = [
             (b'Host', b'lab.example'),
@@ -285,89 +288,91 @@
                 async with self.pool.request(
                     front, b'GET', target, headers, b'', request_id
                 ) as reply:
-                    await self._read(kind, reply, began_s)
+                    await self._read(kind, reply, start_s)
         except (errors.MountridgeError, trio.TooSlowError):
-            seen.failed += 1
+            outcomes.failed += 1
 
     async def _read(
-        self, kind: Kind, reply: lasthop.Reply, began_s: float
+        self, kind: Kind, reply: lasthop.Reply, start_s: float
     ) -> None:
-        seen = self.seen[kind.name]
+        outcomes = self.outcomes[kind.name]
         first_ms = 0.0
         async for _ in reply.chunks():
             if not first_ms:
-                first_ms = (trio.current_time() - began_s) * 1000
+                first_ms = (trio.current_time() - start_s) * 1000
         if reply.head.status != 200:
-            seen.refused += reply.head.status == 503
-            seen.failed += reply.head.status != 503
+            outcomes.refused += reply.head.status == 503
+            outcomes.failed += reply.head.status != 503
             return
-        seen.first_ms.record_value(max(1, round(first_ms)))
-        in_aim = first_ms <= kind.aim_ms
-        seen.in_aim += in_aim
-        seen.late += not in_aim
+        outcomes.first_ms.record_value(max(1, round(first_ms)))
+        on_time = first_ms <= kind.aim_ms
+        outcomes.on_time += on_time
+        outcomes.late += not on_time
 
-    async def callers(self, nursery: trio.Nursery, until_s: float) -> None:
-        """Send requests of all kinds at their rates."""
+    async def send_requests(
+        self, nursery: trio.Nursery, until_s: float
+    ) -> None:
+        """Send requests of all kinds at their mean rates."""
         rate = sum(kind.per_s for kind in self.kinds)
         weights = [kind.per_s for kind in self.kinds]
         while trio.current_time() < until_s:
             await trio.sleep(self.rng.expovariate(rate))
             kind = self.rng.choices(self.kinds, weights)[0]
-            nursery.start_soon(self.call, kind)
+            nursery.start_soon(self.send_request, kind)
 
     async def play(self) -> engine.Group:
-        """Play the whole load."""
+        """Play the load and return the group of engines."""
         async with trio.open_nursery() as nursery:
             group = await self.run_runners(nursery)
             group.shift_demand()
-            await self._begin()
+            await self._put_routes()
             span_s = self.load['span_s']
             until_s = trio.current_time() + span_s
             for drain in self.load.get('drains', []):
                 nursery.start_soon(lambda each=drain: self.drain(**each))
-            async with trio.open_nursery() as asking:
-                await self.callers(asking, until_s)
+            async with trio.open_nursery() as requests:
+                await self.send_requests(requests, until_s)
             nursery.cancel_scope.cancel()
         return group
 
-    async def _begin(self) -> None:
-        """Put the routes, and wait until they are served everywhere."""
-        with trio.fail_after(START_S):
+    async def _put_routes(self) -> None:
+        """Put the routes and wait until all entries serve them."""
+        with trio.fail_after(START_TIMEOUT_S):
             document = self.document()
             while await self.post(b'/v1/routes/put', document) != 200:
                 await trio.sleep(0.2)
             await trio.sleep(2.5)
 
     def table(self) -> str:
-        """Return what became of the requests, by kind."""
+        """Return a table of the outcomes by kind."""
         rows = []
-        for name, seen in self.seen.items():
+        for name, outcomes in self.outcomes.items():
             rows.append(
                 [
                     name,
-                    seen.asked,
-                    seen.in_aim,
-                    seen.late,
-                    seen.refused,
-                    seen.failed,
-                    seen.first_ms.get_value_at_percentile(50),
-                    seen.first_ms.get_value_at_percentile(99),
+                    outcomes.sent,
+                    outcomes.on_time,
+                    outcomes.late,
+                    outcomes.refused,
+                    outcomes.failed,
+                    outcomes.first_ms.get_value_at_percentile(50),
+                    outcomes.first_ms.get_value_at_percentile(99),
                 ]
             )
         heads = ['kind', 'asked', 'in aim', 'late', 'refused', 'failed']
         return tabulate.tabulate(rows, heads + ['p50 ms', 'p99 ms'])
 
     def plot(self, path: str) -> None:
-        """Draw the times to the first data by kind."""
+        """Write a plot of the times to the first data, by kind."""
         import matplotlib
 
         matplotlib.use('Agg')
         from matplotlib import pyplot
 
         percents = list(range(1, 100))
-        for name, seen in self.seen.items():
+        for name, outcomes in self.outcomes.items():
             values = [
-                seen.first_ms.get_value_at_percentile(p) for p in percents
+                outcomes.first_ms.get_value_at_percentile(p) for p in percents
             ]
             pyplot.plot(percents, values, label=name)
         pyplot.xlabel('percentile of requests')
@@ -378,13 +383,13 @@
 
 @click.command()
 @click.argument('load', default=str(SAMPLE), type=click.Path(exists=True))
-@click.option('--plot', 'plot', default='', help='Draw into this file.')
+@click.option('--plot', 'plot', default='', help='Write a plot to this file.')
 def main(load: str, plot: str) -> None:
-    """Play a load and print what was served, by kind."""
-    described = yaml.safe_load(pathlib.Path(load).read_text())
+    """Play a load and print the outcomes of its requests by kind."""
+    parsed = yaml.safe_load(pathlib.Path(load).read_text())
     with tempfile.TemporaryDirectory() as folder:
-        lab = Lab(described, folder)
-        began_s = time.monotonic()
+        lab = Lab(parsed, folder)
+        start_s = time.monotonic()
         try:
             lab.start_entries(founding=True)
             lab.start_sidecars()
@@ -395,11 +400,11 @@
         click.echo(
             f'{group.step} passes, {group.mixed_passes} with two maps, map '
             f'version {group.ranks[0].map_version}; '
-            f'{time.monotonic() - began_s:.0f} s'
+            f'{time.monotonic() - start_s:.0f} s'
         )
         if plot:
             lab.plot(plot)
-    failed = sum(seen.failed for seen in lab.seen.values())
+    failed = sum(outcomes.failed for outcomes in lab.outcomes.values())
     sys.exit(1 if failed or group.mixed_passes else 0)
 
 
