--- a/features/steps/entry_process_steps.py
+++ b/features/steps/entry_process_steps.py
@@ -24,7 +24,7 @@
 
 def _get(number, port):
     try:
-        url = f'http://{lab.HOST}{number}:{port}/'
+        url = f'http://{lab.NETWORK}{number}:{port}/'
         return httpx.get(url, timeout=1).status_code
     except httpx.HTTPError:
         return 0
@@ -51,7 +51,7 @@
     context.add_cleanup(context.lab.stop_all)
     context.lab.start_entries(founding=True)
     _wait_for(lambda: len(_voters(context)) == 3, 15)
-    url = f'http://{lab.HOST}1:8002/v1/routes/put'
+    url = f'http://{lab.NETWORK}1:8002/v1/routes/put'
     answer = httpx.post(url, content=context.lab.document(), timeout=5)
     assert answer.status_code == 200, answer.text
     _wait_for(_all_ready, 10)
--- a/standins/lab.py
+++ b/standins/lab.py
@@ -32,7 +32,7 @@
 
 SAMPLE = pathlib.Path(__file__).parent.parent / 'samples' / 'lab.yaml'
 #: Prefix of the loopback addresses of the lab's processes.
-HOST = ports.network()
+NETWORK = ports.network()
 #: Halls of the plain runners; the engines are in the first one.
 HALLS = ('north', 'south')
 #: Timeout until the first routes are accepted and served.
@@ -72,12 +72,12 @@
 class Lab:
     """The processes, runners and callers of one load.
 
-    ``host`` is the prefix of their loopback addresses.
+    ``network`` is the prefix of their loopback addresses.
     """
 
-    def __init__(self, load: dict, folder: str, host: str = HOST):
+    def __init__(self, load: dict, folder: str, network: str = NETWORK):
         self.load = load
-        self.host = host
+        self.network = network
         self.folder = pathlib.Path(folder)
         self.rng = random.Random(load['seed'])
         self.kinds = [Kind(**each) for each in load['kinds']]
@@ -86,8 +86,10 @@
         #: Host numbers of the entries that the settings list as seeds.
         self.seeds = [1, 2, 3]
         self.pool = lasthop.Pool(NAMES, trio.current_time)
-        self.control = f'{host}1:8002'
-        self.fronts = [f'{host}{n + 1}:8000' for n in range(load['entries'])]
+        self.control = f'{network}1:8002'
+        self.fronts = [
+            f'{network}{n + 1}:8000' for n in range(load['entries'])
+        ]
 
     # Processes.
 
@@ -100,7 +102,7 @@
             'keys': {'off': True},
         }
         merged = {**common, **settings}
-        seeds = {'seeds': [f'{self.host}{n}' for n in self.seeds]}
+        seeds = {'seeds': [f'{self.network}{n}' for n in self.seeds]}
         merged['entry'] = {**settings.get('entry', {}), **seeds}
         path = self.folder / f'{name}.yaml'
         path.write_text(yaml.safe_dump(merged))
@@ -116,7 +118,7 @@
 
     def start_entry(self, number: int, founding: bool) -> None:
         """Start one entry; numbers start at 0."""
-        host = f'{self.host}{number + 1}'
+        host = f'{self.network}{number + 1}'
         entry = {
             'front': f'{host}:8000',
             'readiness': f'{host}:8001',
@@ -137,7 +139,7 @@
 
     def start_sidecar(self, number: int) -> None:
         """Start the sidecar of one rank."""
-        host = f'{self.host}{100 + number}'
+        host = f'{self.network}{100 + number}'
         own = {'engine': f'{host}:9000', 'report_s': 0.1}
         settings = {'role': 'sidecar', 'sidecar': own}
         self.start(f'sidecar-{number}', host, settings)
@@ -215,14 +217,14 @@
         nursery.start_soon(self.restart_ranks, group)
         runners = [
             (
-                f'{self.host}{100 + n}:9000', f'i-{n}', 'llm',
+                f'{self.network}{100 + n}:9000', f'i-{n}', 'llm',
                 engines.handler(n), functools.partial(_start_time, group, n),
             )
             for n in range(params.ranks)
         ]  # fmt: skip
         for number in range(2):
             plain = engineserver.PlainRunner(number, 0.02, self.rng)
-            address = f'{self.host}{200 + number}:9000'
+            address = f'{self.network}{200 + number}:9000'
             fields = functools.partial(dict, hall=HALLS[number])
             runners.append(
                 (address, f'p-{number}', 'plain', plain.handle, fields)
--- a/tools/soak/runners.py
+++ b/tools/soak/runners.py
@@ -139,7 +139,7 @@
     found: list[Runner] = []
 
     def add(name: str, service: str, host: int, *stand_in) -> None:
-        place = (made.hall_of(name), f'{made.host}{host}:{PORT}')
+        place = (made.hall_of(name), f'{made.network}{host}:{PORT}')
         found.append(Runner(name, service, *place, stand_in))
 
     for n in range(sizes['ranks']):
