--- a/features/standins.feature
+++ b/features/standins.feature
@@ -1,14 +1,14 @@
-Feature: What the scenarios and the lab start, they start on ports of their own
+Feature: Port allocation and heartbeats of emulated runners
 
-  Several features run at a time, beside callers whose connections take ports
-  from the kernel's range.
+  Features run in parallel, and outgoing connections use ports of the kernel's
+  ephemeral range. Neither may conflict with ports of processes under test.
 
-  Scenario: Processes that choose ports at the same time share none
-    When 4 processes choose 300 ports each at the same time
-    Then no port is chosen twice
-    And none is from the range that the kernel gives to connections
-    And each has a loopback network of its own
+  Scenario: Processes that allocate ports at the same time get different ports
+    When 4 processes allocate 300 ports each at the same time
+    Then no port is allocated twice
+    And no port is in the kernel's ephemeral range
+    And each process has a loopback network of its own
 
-  Scenario: An emulated runner says what entries ask of a heartbeat
-    When an emulated runner registers and tells nothing besides
-    Then its heartbeat is one that an entry takes
+  Scenario: An entry accepts the heartbeat of an emulated runner
+    When an emulated runner registers with only the required fields
+    Then its heartbeat is valid for an entry
