--- a/features/path.feature
+++ b/features/path.feature
@@ -1,25 +1,25 @@
-Feature: A request from end to end, in separate processes
+Feature: Requests through a system of separate processes
 
-  Scenario: A streamed answer, an alarm ping and a plain call
-    Given a system with 1 controller, 2 gateways and 2 agents
+  Scenario: A streamed chat completion and a plain call
+    Given a system with 1 controller(s), 2 gateway(s) and 2 agent(s)
     And the sample table is in force
-    When a caller asks which address to use
-    Then the answer names 2 addresses with a time to live
-    When team "dispatch" streams a chat with "drafts"
-    Then the answer is whole with 12 tokens
+    When a caller requests the gateway addresses
+    Then the response has 2 addresses and a time to live
+    When team "dispatch" streams a chat completion of "drafts"
+    Then the stream is complete with 12 tokens
     When team "control-room" calls "alarm-relay"
-    Then the call answers 200
-    And asking about the last request gives a reason from "g1" and an agent
+    Then the response has status 200
+    And the last request has recorded reasons from "g1" and an agent
 
-  Scenario: A call that may not be repeated runs once through two gateways
-    Given a system with 1 controller, 2 gateways and 2 agents
+  Scenario: A call that is not repeatable runs once if sent to two gateways
+    Given a system with 1 controller(s), 2 gateway(s) and 2 agent(s)
     And the sample table is in force
-    When key "17" is sent by team "receipts" to "receipt-corrections" through "g1"
-    And key "17" is sent by team "receipts" to "receipt-corrections" through "g2"
-    Then both calls answered alike and it ran once
+    When a call with key "17" is sent by team "receipts" to "receipt-corrections" through "g1"
+    And a call with key "17" is sent by team "receipts" to "receipt-corrections" through "g2"
+    Then both responses are equal and the call ran once
 
-  Scenario: What is wrong with a request is answered with its code
-    Given a system with 1 controller, 1 gateways and 1 agents
+  Scenario: Invalid requests are refused with an error code
+    Given a system with 1 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
     Then these requests are refused
       | team     | path                              | body        | status | code |
@@ -29,4 +29,4 @@
       | dispatch | /v1/chat/completions              | []          | 400    | 1100 |
       | receipts | /v1/services/receipt-corrections  | {}          | 400    | 1104 |
     And a body of 5000000 bytes is refused with code 1101
-    And the system still answers
+    And the system still serves requests
--- a/features/processes.feature
+++ b/features/processes.feature
@@ -1,60 +1,60 @@
-Feature: Faults of real processes
+Feature: Faults of processes and disks in a running system
 
   Scenario: The leader is killed
-    Given a system with 3 controller, 2 gateways and 2 agents
+    Given a system with 3 controller(s), 2 gateway(s) and 2 agent(s)
     And the sample table is in force
     When the leading controller is killed
     Then a new table can be put and is in force
-    And the system still answers
+    And the system still serves requests
 
-  Scenario: The leader is frozen and thaws while it believes it leads
-    Given a system with 3 controller, 1 gateways and 1 agents
+  Scenario: The leader is frozen and resumes after it was replaced
+    Given a system with 3 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
     When the leading controller is frozen
     Then a new table can be put and is in force
-    When the frozen controller thaws
+    When the frozen controller resumes
     Then the table is still the new one, at each controller
-    And the system still answers
+    And the system still serves requests
 
   Scenario: A disk is lost, the box is replaced, and another box is lost
-    Given a system with 3 controller, 1 gateways and 1 agents
+    Given a system with 3 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
     When a follower's disk is lost and the operator replaces it
     And another follower is killed
     Then a new table can be put and is in force
-    And the system still answers
+    And the system still serves requests
 
-  Scenario: A full disk ends no process, and nothing is acknowledged on it
-    Given a system with 3 controller, 1 gateways and 1 agents
+  Scenario: A controller with a full disk keeps running and stores nothing
+    Given a system with 3 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
-    When a follower starts again on a disk with no room left
+    When a follower restarts on a full disk
     Then a new table can be put and is in force
-    And that controller runs, with code 1702 in its log, and holds no new entry
-    And it holds the new table once it starts again with room
+    And that controller is running, has logged code 1702 and stored no new entry
+    And it stores new entries after a restart with free disk space
 
-  Scenario: An agent is killed in the middle of an answer
-    Given a system with 1 controller, 1 gateways and 2 agents
+  Scenario: An agent is killed in the middle of a response
+    Given a system with 1 controller(s), 1 gateway(s) and 2 agent(s)
     And the sample table is in force
-    When an agent is killed in the middle of a streamed answer
-    Then the caller sees the connection break, not an end
-    And the system still answers
+    When an agent is killed in the middle of a streamed response
+    Then the caller's connection breaks before the end of the stream
+    And the system still serves requests
 
-  Scenario: The same calls through the client library that callers use
-    Given a system with 1 controller, 1 gateways and 1 agents
+  Scenario: Chat completions through the openai client library
+    Given a system with 1 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
-    When the openai client asks for a chat, streamed and not
-    Then both answers are whole
-    And it gets an unknown model as its own not-found error
+    When the openai client requests a chat completion, streamed and not
+    Then both answers are complete
+    And an unknown model raises the client's not-found error
 
-  Scenario: A process without the right key gets nowhere
-    Given a system with 1 controller, 1 gateways and 1 agents
+  Scenario: A process with an unknown key is not answered
+    Given a system with 1 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
-    When a process with a key of its own asks for the state of "g1"
-    Then it is not answered and exits 3
-    And the system still answers
+    When a process with an unknown key requests the state of "g1"
+    Then it gets no answer and exits with code 3
+    And the system still serves requests
 
-  Scenario: Making a data folder beside a running system is refused
-    Given a system with 3 controller, 1 gateways and 1 agents
+  Scenario: Initializing a data folder for a running system is refused
+    Given a system with 3 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
     When an operator runs storage init for one more box
     Then it is refused with code 1402
--- a/features/steps/fault_steps.py
+++ b/features/steps/fault_steps.py
@@ -50,8 +50,8 @@
     cluster.wait_for(put, 60)
 
 
-@when('the frozen controller thaws')
-def thaw(context):
+@when('the frozen controller resumes')
+def resume(context):
     context.cluster.signal(context.frozen, signal.SIGCONT)
 
 
@@ -94,7 +94,7 @@
     context.cluster.kill(context.other)
 
 
-@when('a follower starts again on a disk with no room left')
+@when('a follower restarts on a full disk')
 def full_disk(context):
     made = context.cluster
     context.full = _followers(made)[0]
@@ -104,8 +104,8 @@
 
 
 @then(
-    'that controller runs, with code {code:d} in its log, '
-    'and holds no new entry'
+    'that controller is running, has logged code {code:d} '
+    'and stored no new entry'
 )
 def check_full(context, code):
     made = context.cluster
@@ -118,7 +118,7 @@
     assert context.held < newest, (context.held, newest)
 
 
-@then('it holds the new table once it starts again with room')
+@then('it stores new entries after a restart with free disk space')
 def check_room(context):
     made = context.cluster
     made.kill(context.full)
@@ -135,7 +135,7 @@
             return name
 
 
-@when('an agent is killed in the middle of a streamed answer')
+@when('an agent is killed in the middle of a streamed response')
 def kill_agent(context):
     made = context.cluster
     body = {
@@ -157,13 +157,13 @@
         context.broken = True
 
 
-@then('the caller sees the connection break, not an end')
+@then("the caller's connection breaks before the end of the stream")
 def check_break(context):
     assert context.seen and '[DONE]' not in context.seen
     assert context.broken
 
 
-@when('the openai client asks for a chat, streamed and not')
+@when('the openai client requests a chat completion, streamed and not')
 def ask_openai(context):
     address = context.cluster.http['g1']
     context.client = openai.OpenAI(
@@ -181,14 +181,14 @@
     context.answer = answer.choices[0].message.content
 
 
-@then('both answers are whole')
+@then('both answers are complete')
 def check_openai(context):
     expected = [f'w{n}' for n in range(12)]
     assert ''.join(context.pieces).split() == expected
     assert context.answer.split() == expected
 
 
-@then('it gets an unknown model as its own not-found error')
+@then("an unknown model raises the client's not-found error")
 def check_not_found(context):
     try:
         context.client.chat.completions.create(model='no', messages=[])
@@ -198,7 +198,7 @@
         raise AssertionError('no error')
 
 
-@when('a process with a key of its own asks for the state of "{name}"')
+@when('a process with an unknown key requests the state of "{name}"')
 def foreign_key(context, name):
     made = context.cluster
     keys.make(str(made.folder / 'foreign'), ['stranger'])
@@ -219,7 +219,7 @@
     )
 
 
-@then('it is not answered and exits {code:d}')
+@then('it gets no answer and exits with code {code:d}')
 def check_exit(context, code):
     assert context.done.returncode == code, context.done
     assert 'open_requests' not in context.done.stdout
--- a/features/steps/processes.py
+++ b/features/steps/processes.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on real processes over loopback."""
+"""Steps on requests through real processes on loopback."""
 
 import json
 import pathlib
@@ -12,44 +12,44 @@
 
 from standins import cluster
 
-SHEET = pathlib.Path('samples/table.csv').read_text()
+TABLE = pathlib.Path('samples/table.csv').read_text()
 SERVICES = ['drafts', 'assistant', 'alarm-relay', 'receipt-corrections']
 
 
 @given(
-    'a system with {controllers:d} controller, {gateways:d} gateways'
-    ' and {agents:d} agents'
+    'a system with {controllers:d} controller(s), {gateways:d} gateway(s)'
+    ' and {agents:d} agent(s)'
 )
 def start_system(context, controllers, gateways, agents):
     folder = tempfile.mkdtemp()
-    made = context.cluster = cluster.Cluster(folder)
+    system = context.cluster = cluster.Cluster(folder)
     names = [f'c{n + 1}' for n in range(controllers)]
-    made.add_controllers(names)
+    system.add_controllers(names)
     for n in range(agents):
-        runner = made.start_runner(f'r{n + 1}')
-        made.add('agent', f'a{n + 1}', runner=runner, services=SERVICES)
-        made.start(f'a{n + 1}')
+        runner = system.start_runner(f'r{n + 1}')
+        system.add('agent', f'a{n + 1}', runner=runner, services=SERVICES)
+        system.start(f'a{n + 1}')
     for n in range(gateways):
-        made.add('gateway', f'g{n + 1}')
-        made.start(f'g{n + 1}')
+        system.add('gateway', f'g{n + 1}')
+        system.start(f'g{n + 1}')
     context.agents = agents
 
 
 @given('the sample table is in force')
 def put_sample(context):
-    context.cluster.put_table(SHEET)
+    context.cluster.put_table(TABLE)
     for name in context.cluster.settings:
         if name.startswith('g'):
             context.cluster.wait_ready(name, context.agents)
 
 
-@when('a caller asks which address to use')
-def ask_address(context):
+@when('a caller requests the gateway addresses')
+def request_addresses(context):
     url = f'http://{context.cluster.http["g1"]}/v1/address'
     context.addresses = httpx.get(url).json()
 
 
-@then('the answer names {count:d} addresses with a time to live')
+@then('the response has {count:d} addresses and a time to live')
 def check_addresses(context, count):
     assert len(context.addresses['addresses']) == count, context.addresses
     assert context.addresses['ttl_s'] > 0
@@ -61,15 +61,15 @@
     return httpx.post(url, content=body, headers=headers, timeout=30)
 
 
-@when('team "{team}" streams a chat with "{model}"')
+@when('team "{team}" streams a chat completion of "{model}"')
 def stream_chat(context, team, model):
     body = {'model': model, 'stream': True, 'messages': []}
     response = _post(context, team, '/v1/chat/completions', json.dumps(body))
     context.response = response
 
 
-@then('the answer is whole with {count:d} tokens')
-def check_whole(context, count):
+@then('the stream is complete with {count:d} tokens')
+def check_complete(context, count):
     lines = [x for x in context.response.text.split('\n\n') if x]
     assert lines[-1] == 'data: [DONE]', lines
     words = [
@@ -85,15 +85,12 @@
     context.response = _post(context, team, path, '{}')
 
 
-@then('the call answers {status:d}')
+@then('the response has status {status:d}')
 def check_status(context, status):
     assert context.response.status_code == status, context.response.text
 
 
-@then(
-    'asking about the last request gives a reason from "{name}" and an'
-    ' agent'
-)
+@then('the last request has recorded reasons from "{name}" and an agent')
 def check_reasons(context, name):
     request_id = context.response.headers['x-request-id']
     records = json.loads(context.cluster.cli('ask', '--json', request_id))
@@ -103,36 +100,37 @@
 
 
 @when(
-    'key "{key}" is sent by team "{team}" to "{service}" through "{gateway}"'
+    'a call with key "{key}" is sent by team "{team}" to "{service}"'
+    ' through "{gateway}"'
 )
-def call_keyed(context, key, team, service, gateway):
-    if not hasattr(context, 'answers'):
-        context.answers = []
+def call_with_key(context, key, team, service, gateway):
+    if not hasattr(context, 'responses'):
+        context.responses = []
         context.key_s = int(time.time())
     body = json.dumps({'mark': key})
-    full = f'{context.key_s}-{key}'
+    unique_key = f'{context.key_s}-{key}'
     response = _post(
         context,
         team,
         f'/v1/services/{service}',
         body,
         gateway,
-        **{'idempotency-key': full},
+        **{'idempotency-key': unique_key},
     )
-    context.answers.append(response)
+    context.responses.append(response)
 
 
-@then('both calls answered alike and it ran once')
+@then('both responses are equal and the call ran once')
 def check_once(context):
-    first, second = context.answers
+    first, second = context.responses
     assert first.status_code == second.status_code == 200, second.text
     assert first.json() == second.json()
     assert first.json()['run'] == 1
     runs = 0
     for name, address in context.cluster.http.items():
         if name.startswith('r'):
-            shown = httpx.get(f'http://{address}/counts').json()
-            runs += sum(shown['marks'].values())
+            counts = httpx.get(f'http://{address}/counts').json()
+            runs += sum(counts['marks'].values())
     assert runs == 1, runs
 
 
@@ -153,7 +151,7 @@
     assert response.json()['error']['code'] == code, response.text
 
 
-@then('the system still answers')
-def check_answers(context):
+@then('the system still serves requests')
+def check_serving(context):
     stream_chat(context, 'dispatch', 'drafts')
-    check_whole(context, 12)
+    check_complete(context, 12)
