--- a/features/steps/fault_steps.py
+++ b/features/steps/fault_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on faults of real processes over loopback."""
+"""Steps on faults of real processes on loopback."""
 
 import json
 import pathlib
@@ -18,8 +18,8 @@
 from mountridge.net import keys
 from standins import cluster, ports
 
-SHEET = pathlib.Path('samples/table.csv').read_text()
-NEW_SHEET = SHEET.replace('crews,drafts,*,2,64', 'crews,drafts,*,2,65')
+TABLE = pathlib.Path('samples/table.csv').read_text()
+NEW_TABLE = TABLE.replace('crews,drafts,*,2,64', 'crews,drafts,*,2,65')
 
 
 @when('the leading controller is killed')
@@ -35,16 +35,16 @@
 
 @then('a new table can be put and is in force')
 def put_new(context):
-    made = context.cluster
+    system = context.cluster
 
     def put():
-        path = made.folder / 'new.csv'
-        path.write_text(NEW_SHEET)
-        made.cli(
+        path = system.folder / 'new.csv'
+        path.write_text(NEW_TABLE)
+        system.cli(
             'table', 'put', '--base', '1', '--wait', '--operation', 'new',
             str(path), check=False,
         )  # fmt: skip
-        log = json.loads(made.cli('table', 'log', '--json', check=False))
+        log = json.loads(system.cli('table', 'log', '--json', check=False))
         return log[-1]['version'] == 2 and log[-1]['in_force']
 
     cluster.wait_for(put, 60)
@@ -57,35 +57,37 @@
 
 @then('the table is still the new one, at each controller')
 def check_table(context):
-    made = context.cluster
+    system = context.cluster
 
     def all_new():
-        shown = [made.dump(name)['controller'] for name in made.controllers]
+        shown = [
+            system.dump(name)['controller'] for name in system.controllers
+        ]
         return {each['table_version'] for each in shown} == {2}
 
     cluster.wait_for(all_new)
-    log = json.loads(made.cli('table', 'log', '--json'))
+    log = json.loads(system.cli('table', 'log', '--json'))
     assert [each['version'] for each in log] == [1, 2], log
 
 
-def _followers(made):
-    leader = made.leader()
-    return [name for name in made.controllers if name != leader]
+def _followers(system):
+    leader = system.leader()
+    return [name for name in system.controllers if name != leader]
 
 
 @when("a follower's disk is lost and the operator replaces it")
 def lose_disk(context):
-    made = context.cluster
-    name, context.other = _followers(made)
-    made.kill(name)
-    shutil.rmtree(made.folder / f'data-{name}')
-    made.start(name)
-    shown = made.cli('controllers', 'add', name, made.controllers[name])
-    fresh = re.search(rf'({name}\.\w+) is a learner', shown).group(1)
-    made.cli('controllers', 'remove', f'{name}.0')
+    system = context.cluster
+    name, context.other = _followers(system)
+    system.kill(name)
+    shutil.rmtree(system.folder / f'data-{name}')
+    system.start(name)
+    shown = system.cli('controllers', 'add', name, system.controllers[name])
+    learner = re.search(rf'({name}\.\w+) is a learner', shown).group(1)
+    system.cli('controllers', 'remove', f'{name}.0')
     cluster.wait_for(
-        lambda: f'{fresh} is a voter'
-        in made.cli('controllers', 'promote', fresh, check=False)
+        lambda: f'{learner} is a voter'
+        in system.cli('controllers', 'promote', learner, check=False)
     )
 
 
@@ -96,11 +98,11 @@
 
 @when('a follower restarts on a full disk')
 def full_disk(context):
-    made = context.cluster
-    context.full = _followers(made)[0]
-    made.kill(context.full)
-    journal = max((made.folder / f'data-{context.full}').glob('journal-*'))
-    made.start(context.full, journal.stat().st_size + 100)
+    system = context.cluster
+    context.full = _followers(system)[0]
+    system.kill(context.full)
+    journal = max((system.folder / f'data-{context.full}').glob('journal-*'))
+    system.start(context.full, journal.stat().st_size + 100)
 
 
 @then(
@@ -108,51 +110,51 @@
     'and stored no new entry'
 )
 def check_full(context, code):
-    made = context.cluster
-    log = made.folder / f'{context.full}.log'
+    system = context.cluster
+    log = system.folder / f'{context.full}.log'
     cluster.wait_for(lambda: f'"code": {code}' in log.read_text())
-    assert made.processes[context.full].poll() is None
-    held = storage.read(str(made.folder / f'data-{context.full}'))
+    assert system.processes[context.full].poll() is None
+    held = storage.read(str(system.folder / f'data-{context.full}'))
     context.held = held.entries[-1].index
-    newest = made.dump(made.leader())['controller']['commit']
+    newest = system.dump(system.leader())['controller']['commit']
     assert context.held < newest, (context.held, newest)
 
 
 @then('it stores new entries after a restart with free disk space')
 def check_room(context):
-    made = context.cluster
-    made.kill(context.full)
-    made.start(context.full)
-    folder = str(made.folder / f'data-{context.full}')
+    system = context.cluster
+    system.kill(context.full)
+    system.start(context.full)
+    folder = str(system.folder / f'data-{context.full}')
     cluster.wait_for(
         lambda: storage.read(folder).entries[-1].index > context.held
     )
 
 
-def _busy_agent(made):
-    for name in made.settings:
-        if name.startswith('a') and made.dump(name)['agent']['running']:
+def _busy_agent(system):
+    for name in system.settings:
+        if name.startswith('a') and system.dump(name)['agent']['running']:
             return name
 
 
 @when('an agent is killed in the middle of a streamed response')
 def kill_agent(context):
-    made = context.cluster
+    system = context.cluster
     body = {
         'model': 'drafts', 'stream': True, 'messages': [],
         'tokens': 600, 'gap_s': 0.05,
     }  # fmt: skip
-    url = f'http://{made.http["g1"]}/v1/chat/completions'
+    url = f'http://{system.http["g1"]}/v1/chat/completions'
     headers = {'authorization': 'Bearer dispatch'}
     context.seen, context.broken = '', False
     try:
         with httpx.stream(
             'POST', url, json=body, headers=headers, timeout=60
         ) as response:
-            for piece in response.iter_text():
+            for text in response.iter_text():
                 if not context.seen:
-                    made.kill(_busy_agent(made))
-                context.seen += piece
+                    system.kill(_busy_agent(system))
+                context.seen += text
     except httpx.RemoteProtocolError:
         context.broken = True
 
@@ -169,15 +171,15 @@
     context.client = openai.OpenAI(
         base_url=f'http://{address}/v1', api_key='dispatch', max_retries=0
     )
-    asked = {
+    arguments = {
         'model': 'drafts',
         'messages': [{'role': 'user', 'content': 'hello'}],
     }
-    streamed = context.client.chat.completions.create(stream=True, **asked)
+    streamed = context.client.chat.completions.create(stream=True, **arguments)
     context.pieces = [
         chunk.choices[0].delta.content or '' for chunk in streamed
     ]
-    answer = context.client.chat.completions.create(**asked)
+    answer = context.client.chat.completions.create(**arguments)
     context.answer = answer.choices[0].message.content
 
 
@@ -200,20 +202,22 @@
 
 @when('a process with an unknown key requests the state of "{name}"')
 def foreign_key(context, name):
-    made = context.cluster
-    keys.make(str(made.folder / 'foreign'), ['stranger'])
-    for path in (made.folder / 'keys').glob('*.key'):
-        shutil.copy(path, made.folder / 'foreign')
-    made.add('gateway', 'stranger')
-    text = made.path('stranger').read_text()
-    foreign = made.path('stranger')
+    system = context.cluster
+    keys.make(str(system.folder / 'foreign'), ['stranger'])
+    for path in (system.folder / 'keys').glob('*.key'):
+        shutil.copy(path, system.folder / 'foreign')
+    system.add('gateway', 'stranger')
+    text = system.path('stranger').read_text()
+    foreign = system.path('stranger')
     foreign.write_text(
-        text.replace(str(made.folder / 'keys'), str(made.folder / 'foreign'))
+        text.replace(
+            str(system.folder / 'keys'), str(system.folder / 'foreign')
+        )
     )
-    (made.folder / 'keys' / 'stranger.key').unlink()
+    (system.folder / 'keys' / 'stranger.key').unlink()
     context.done = subprocess.run(
         [sys.executable, '-m', 'mountridge', 'dump', '--settings']
-        + [str(foreign), name, made.settings[name]['bind']],
+        + [str(foreign), name, system.settings[name]['bind']],
         capture_output=True,
         text=True,
     )
@@ -227,15 +231,15 @@
 
 @when('an operator runs storage init for one more box')
 def init_more(context):
-    made = context.cluster
-    made.controllers['c9'] = f'tcp://127.0.0.1:{ports.free_port()}'
-    made.add('controller', 'c9')
-    for name in made.controllers:
-        source = made.folder / 'keys' / f'{name}.key'
+    system = context.cluster
+    system.controllers['c9'] = f'tcp://127.0.0.1:{ports.free_port()}'
+    system.add('controller', 'c9')
+    for name in system.controllers:
+        source = system.folder / 'keys' / f'{name}.key'
         assert source.exists()
     context.done = subprocess.run(
         [sys.executable, '-m', 'mountridge', 'storage', 'init']
-        + [str(made.path('c9'))],
+        + [str(system.path('c9'))],
         capture_output=True,
         text=True,
     )
