--- a/standins/engine.py
+++ b/standins/engine.py
@@ -87,13 +87,13 @@
         self.mixed_passes = 0  # whose ranks used different maps
         self.held_s = 0.0
         self.ranks: list[Rank] = []
-        #: Start time of each engine; 0 until it restarts.
+        #: Unix time of each engine's start; 0 until it restarts.
         self.born_ms = [0] * params.ranks
         self.popularity = [1.0] * (params.sets * params.experts)
         self.reform(0.0)
 
     def reform(self, now_s: float) -> None:
-        """Start a new epoch: reset the maps and abort all requests."""
+        """Start a new epoch with the initial map; abort all requests."""
         params = self.params
         self.epoch += 1
         self.open_at_s = now_s + (params.form_s if self.epoch > 1 else 0.0)
