--- a/features/path.feature
+++ b/features/path.feature
@@ -1,25 +1,25 @@
-Feature: End-to-end requests through separate processes
+Feature: Requests through a system of separate processes
 
-  Scenario: A list of addresses, a streamed answer and a plain call
-    Given a system with 1 controller, 2 gateways and 2 agents
+  Scenario: A streamed chat completion and a plain call
+    Given a system with 1 controller(s), 2 gateway(s) and 2 agent(s)
     And the sample table is in force
-    When a caller requests the addresses of the gateways
-    Then the answer has 2 addresses with a time to live
-    When team "dispatch" streams a chat with "drafts"
-    Then the answer is complete with 12 tokens
+    When a caller requests the gateway addresses
+    Then the response has 2 addresses and a time to live
+    When team "dispatch" streams a chat completion of "drafts"
+    Then the stream is complete with 12 tokens
     When team "control-room" calls "alarm-relay"
-    Then the call returns status 200
-    And the decisions on the last request have a reason from "g1" and one from an agent
+    Then the response has status 200
+    And the last request has recorded reasons from "g1" and an agent
 
-  Scenario: A call that may not be repeated runs once through two gateways
-    Given a system with 1 controller, 2 gateways and 2 agents
+  Scenario: A call that is not repeatable runs once if sent to two gateways
+    Given a system with 1 controller(s), 2 gateway(s) and 2 agent(s)
     And the sample table is in force
-    When key "17" is sent by team "receipts" to "receipt-corrections" through "g1"
-    And key "17" is sent by team "receipts" to "receipt-corrections" through "g2"
-    Then both calls returned the same answer and it ran once
+    When a call with key "17" is sent by team "receipts" to "receipt-corrections" through "g1"
+    And a call with key "17" is sent by team "receipts" to "receipt-corrections" through "g2"
+    Then both responses are equal and the call ran once
 
-  Scenario: An invalid request is refused with the code of its error
-    Given a system with 1 controller, 1 gateways and 1 agents
+  Scenario: Invalid requests are refused with an error code
+    Given a system with 1 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
     Then these requests are refused
       | team     | path                              | body        | status | code |
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -18,7 +18,7 @@
 from mountridge.groups import engines, groups
 from standins import engine
 
-SHEET = engine.EngineSheet()
+SHEET = engine.EngineParameters()
 #: Requests that each rank always has, running or waiting.
 REQUESTS_PER_RANK = 3
 #: Interval at which a stalled group is checked.
@@ -106,7 +106,7 @@
         await trio.sleep(0.001)
         if world.rng.random() >= world.order_loss:
             now_s = trio.current_time()
-            world.group.follow(self.number, order, now_s)
+            world.group.execute_order(self.number, order, now_s)
             freezes = world.freezing and order.kind == ranks.HOLD
             if freezes and not self.is_remote:
                 world.frozen_until_s[self.number] = now_s + FROZEN_S
@@ -120,7 +120,7 @@
         await trio.sleep(self.world.rng.uniform(2, 12))
         try:
             now_s = trio.current_time()
-            self.world.group.follow(self.number, order, now_s)
+            self.world.group.execute_order(self.number, order, now_s)
         except errors.RefusedChange:
             # The engine refuses an order that no longer fits its state.
             return
@@ -236,7 +236,7 @@
                 while (
                     len(rank.running) + len(rank.waiting) < REQUESTS_PER_RANK
                 ):
-                    rank.waiting.append(engine.Run(200, 100))
+                    rank.waiting.append(engine.Sequence(200, 100))
             duration_s = self.group.begin_pass(trio.current_time())
             if duration_s is None:
                 self.stalled_s += POLL_S
--- a/tools/soak/runners.py
+++ b/tools/soak/runners.py
@@ -126,26 +126,26 @@
 
     runners: list[Runner]
     group: engine.Group
-    ranks: engineserver.Ranks
+    ranks: engineserver.EngineRunners
 
 
 def build(made: fleet.Fleet, watch: checks.Watch, rng: random.Random) -> Built:
     """Return the runners of a run, none of which lives yet."""
     sizes = made.sizes
-    group = engine.Group(engine.EngineSheet(ranks=sizes['ranks']), rng)
+    group = engine.Group(engine.EngineParameters(ranks=sizes['ranks']), rng)
     group.shift_demand()
-    ranks = engineserver.Ranks(group, rng)
+    ranks = engineserver.EngineRunners(group, rng)
     watch.runs.append(ranks.runs)
     found: list[Runner] = []
 
     def add(name: str, service: str, host: int, *stand_in) -> None:
-        place = (made.hall_of(name), f'{made.host}{host}:{PORT}')
+        place = (made.hall_of(name), f'{made.network}{host}:{PORT}')
         found.append(Runner(name, service, *place, stand_in))
 
     for n in range(sizes['ranks']):
         add(f'i-{n}', 'llm', 100 + n, ranks.handler(n), ranks.faults[n])
     for n in range(sizes['plains']):
-        plain = engineserver.Plain(n, PLAIN_WORK_S, rng)
+        plain = engineserver.PlainRunner(n, PLAIN_WORK_S, rng)
         watch.runs.append(plain.runs)
         add(f'p-{n}', 'plain', 150 + n, plain.handle, plain.faults)
     return Built(found, group, ranks)
