--- a/mountridge/control/leadership.py
+++ b/mountridge/control/leadership.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A controller's answer to processes that look for the leader.
+"""Handler of the queries of processes that search for the leader.
 
-It is held until there is one to name, so that those that look learn of an
-election at its end and need not ask again and again meanwhile.
+A reply is delayed until a leader is known. Processes thus learn the result of
+an election at its end and do not have to poll meanwhile.
 """
 
 import trio
@@ -13,13 +13,12 @@
 
 __all__ = ['Leadership']
 
-#: How long an answer is held; below `members.CALL_S`, for which those that
-#: ask wait.
-HOLD_S = 0.3
+#: Longest delay of a reply; below `members.CALL_S`, the callers' timeout.
+MAX_DELAY_S = 0.3
 
 
 class Leadership:
-    """Tells who leads."""
+    """Answers `WhoLeads` queries."""
 
     def __init__(
         self, app: application.Application, replica: replicas.Replica
@@ -30,18 +29,22 @@
     async def on_who_leads(
         self, peer, question: messages.WhoLeads
     ) -> messages.Registered:
-        """Answer as the leader, or refuse and name it once it is known.
+        """Reply if this controller leads; else name the leader once known.
 
-        :raises NotLeader: naming the leader, or nobody where none is known.
+        A leader at the address ``question.besides`` is not named: the caller
+        has found it unresponsive.
+
+        :raises NotLeader: with the leader's address; without one if no other
+            leader is known within `MAX_DELAY_S`.
         """
-        with trio.move_on_after(HOLD_S):
+        with trio.move_on_after(MAX_DELAY_S):
             while True:
                 try:
                     self.replica.check_leader()
                     return messages.Registered()
                 except errors.NotLeader as refusal:
-                    named = getattr(refusal, 'leader_address', '')
-                    if named and named != question.besides:
+                    address = getattr(refusal, 'leader_address', '')
+                    if address and address != question.besides:
                         raise
                 await self.replica.stepped()
         raise errors.NotLeader()
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1018,7 +1018,8 @@
     ),
     Mutant(
         'losses: a lost leader is named to who looks for another',
-        'leadership', 'if named and named != question.besides:', 'if named:',
+        'leadership', 'if address and address != question.besides:',
+        'if address:',
         'losses', 'A controller tells',
     ),
     Mutant(
