--- a/mountridge/control/leadership.py
+++ b/mountridge/control/leadership.py
@@ -11,13 +11,13 @@
 from mountridge import application, errors, messages
 from mountridge.consensus import replicas
 
-__all__ = ['Leadership']
+__all__ = ['LeaderLookup']
 
 #: Longest delay of a reply; below `members.CALL_S`, the callers' timeout.
 MAX_DELAY_S = 0.3
 
 
-class Leadership:
+class LeaderLookup:
     """Answers `WhoLeads` queries."""
 
     def __init__(
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -393,7 +393,7 @@
     app.handlers[messages.Members] = controller.list_members
     app.handlers[messages.Raft] = controller.replica.on_raft
     app.handlers[messages.Admin] = office.on_admin
-    app.handlers[messages.WhoLeads] = leadership.Leadership(
+    app.handlers[messages.WhoLeads] = leadership.LeaderLookup(
         app, controller.replica
     ).on_who_leads
     app.tasks += [controller.replica.run, controller.watch]
