--- a/mountridge/control/changes.py
+++ b/mountridge/control/changes.py
@@ -136,4 +136,4 @@
                 f'cannot transfer leadership to {target or "any voter"}'
             )
         self.replica.put(consensus.HandOver(target))
-        return f'leadership transfer to {target} started'
+        return f'transferring leadership to {target}'
