--- a/features/steps/changes_steps.py
+++ b/features/steps/changes_steps.py
@@ -51,7 +51,7 @@
 @given('a leading controller that knows c1 as a voter and c2 as a learner')
 def lead(context):
     context.replica = Replica()
-    context.office = changes.Changes(App(), context.replica)
+    context.office = changes.AdminHandler(App(), context.replica)
 
 
 @when('the operator sends "{action} {name}" twice')
--- a/mountridge/control/changes.py
+++ b/mountridge/control/changes.py
@@ -8,12 +8,12 @@
 from mountridge import application, errors, messages
 from mountridge.consensus import consensus, replicas, replication
 
-__all__ = ['Changes']
+__all__ = ['AdminHandler']
 
 WHOAMI_TIMEOUT_S = 2.0
 
 
-class Changes:
+class AdminHandler:
     """Handles `Admin` calls; each reply is a text for the operator."""
 
     def __init__(
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -375,7 +375,7 @@
 ) -> Controller:
     """Return a controller whose handlers and tasks are in ``app``."""
     controller = Controller(app, make_replica)
-    office = changes.Changes(app, controller.replica)
+    admin = changes.AdminHandler(app, controller.replica)
     app.handlers[messages.Renew] = controller.renew
     app.handlers[messages.Put] = controller.put
     app.handlers[messages.Table] = controller.table
@@ -392,7 +392,7 @@
     app.handlers[messages.Outcome] = controller.outcome
     app.handlers[messages.Members] = controller.list_members
     app.handlers[messages.Raft] = controller.replica.on_raft
-    app.handlers[messages.Admin] = office.on_admin
+    app.handlers[messages.Admin] = admin.on_admin
     app.handlers[messages.WhoLeads] = leadership.LeaderLookup(
         app, controller.replica
     ).on_who_leads
