--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -13,7 +13,7 @@
 from features.worlds import core
 from mountridge import errors, messages
 from mountridge.consensus import consensus, entries, replication
-from mountridge.control import formation, spread
+from mountridge.control import formation, voterplacement
 from mountridge.experts import ranks
 from mountridge.state import members
 
@@ -470,7 +470,7 @@
     counts = {}
     for hall in in_halls(expected).values():
         counts[hall] = counts.get(hall, 0) + 1
-    assert spread.by_hall(context.sets[-1]) == counts, context.sets
+    assert voterplacement.by_hall(context.sets[-1]) == counts, context.sets
 
 
 @then('there were never fewer than {least:d} voters')
@@ -498,10 +498,10 @@
             answering = {
                 key for key in config.addresses() if rng.random() < 0.7
             } | {leader}
-            before = spread.excess(config, 1)
+            before = voterplacement.excess(config, 1)
             config = settle(config, answering, 5, 1)[-1]
             if len(config.voters) == 5:
-                context.ends.append((before, spread.excess(config, 1)))
+                context.ends.append((before, voterplacement.excess(config, 1)))
             # A box that was taken out asks again; a lost disk is another id.
             for hall in ('north', 'south', 'west'):
                 key = f'{hall}{rng.random()}'
@@ -665,7 +665,7 @@
 def check_spread(context, count):
     config = context.play.config
     assert len(config.voters) == count, config
-    assert not spread.excess(config, 1), spread.by_hall(config)
+    assert not voterplacement.excess(config, 1), voterplacement.by_hall(config)
 
 
 @then('no box that is reached names a lost one {limit_s:g} s after the loss')
@@ -853,7 +853,7 @@
             lambda: world.leader()
             and len(world.config().halls) == len(world.config().addresses())
         )
-        return spread.by_hall(world.config())
+        return voterplacement.by_hall(world.config())
 
     context.halls = play(context, script)
 
--- a/features/worlds/core.py
+++ b/features/worlds/core.py
@@ -17,7 +17,7 @@
 from mountridge import controller, entry, errors, messages
 from mountridge import settings as settings_module
 from mountridge.consensus import consensus, entries, replicas, storage
-from mountridge.control import formation, spread
+from mountridge.control import formation, voterplacement
 from mountridge.documents import routes
 from mountridge.net import dialects
 
@@ -214,7 +214,9 @@
         return (
             taking_part >= with_disk
             and len(config.voters) == 2 * losses + 1
-            and not spread.excess(config, self.bounds.get('hall_losses', 0))
+            and not voterplacement.excess(
+                config, self.bounds.get('hall_losses', 0)
+            )
         )
 
     def leader(self):
--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -15,7 +15,7 @@
 
 from mountridge import application, errors, messages, signals
 from mountridge.consensus import consensus, entries, replicas, replication
-from mountridge.control import spread
+from mountridge.control import voterplacement
 from mountridge.logs import logger
 from mountridge.net import sockets
 from mountridge.state import members
@@ -88,7 +88,9 @@
     first: for a look and a commit there is one fewer.
     """
     if len(config.voters) > places.most:
-        gone = spread.best_removal(config, places.silent, leader, places.halls)
+        gone = voterplacement.best_removal(
+            config, places.silent, leader, places.halls
+        )
         return config.without(gone)
     if not places.ready:
         return None
@@ -96,7 +98,7 @@
     grown = None if is_full else _grow(config, places)
     if grown:
         return grown
-    found = spread.best_exchange(
+    found = voterplacement.best_exchange(
         config, places.silent, places.ready, leader, places.halls
     )
     if not found:
@@ -114,14 +116,14 @@
     if len(config.voters) % 2 and len(config.voters) > 1:
         if len(places.ready) < 2:
             return None
-    key = spread.best_addition(config, places.ready, places.halls)
-    soon = spread.best_addition(
+    key = voterplacement.best_addition(config, places.ready, places.halls)
+    soon = voterplacement.best_addition(
         config, places.ready + places.coming, places.halls
     )
     if soon in places.coming:
         grown, better = config.promote(key), config.promote(soon)
-        bad = spread.excess(grown, places.halls)
-        if bad > spread.excess(better, places.halls):
+        bad = voterplacement.excess(grown, places.halls)
+        if bad > voterplacement.excess(better, places.halls):
             return None
     return config.promote(key)
 
@@ -255,7 +257,7 @@
                 logger.info(
                     'controllers',
                     voters=sorted(wanted.voters),
-                    halls=spread.by_hall(wanted),
+                    halls=voterplacement.by_hall(wanted),
                 )
             except (errors.MountridgeError, trio.TooSlowError) as problem:
                 logger.debug('controllers unchanged', reason=str(problem))
@@ -276,9 +278,9 @@
         now_s = self.app.now_s()
         silent = [k for k in node.config.voters if _silent(node, k, now_s)]
         answering = set(node.config.voters).difference(silent)
-        halls = spread.by_hall(node.config)
+        halls = voterplacement.by_hall(node.config)
         at_once = max(1, self._hall_losses)
-        left = spread.left_over(node.config, answering, at_once)
+        left = voterplacement.left_over(node.config, answering, at_once)
         told = (halls, sorted(silent), left < 0)
         if told == self._told:
             return
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1053,22 +1053,22 @@
         'losses', 'at the same moment',
     ),
     Mutant(
-        'losses: a replacement gathers a majority', 'spread',
+        'losses: a replacement gathers a majority', 'voterplacement',
         'if voter in silent and excess_after > now:', 'if False:', 'losses',
         'Voters stand',
     ),
     Mutant(
-        'losses: voters change places for nothing', 'spread',
+        'losses: voters change places for nothing', 'voterplacement',
         'if voter not in silent and excess_after >= now:', 'if False:',
         'losses', 'Voters stand',
     ),
     Mutant(
-        'losses: any learner will do', 'spread',
+        'losses: any learner will do', 'voterplacement',
         'return excess(changed, hall_losses), by_hall(changed)',
         'return 0, {}', 'losses', 'Voters stand',
     ),
     Mutant(
-        'losses: whoever is removed', 'spread',
+        'losses: whoever is removed', 'voterplacement',
         '            excess(changed, hall_losses),\n            key == ',
         '            key == ', 'losses', 'Voters stand',
     ),
@@ -1083,7 +1083,7 @@
     ),
     Mutant(
         'losses: a better learner is not awaited', 'formation',
-        'if bad > spread.excess(better, places.halls):', 'if False:',
+        'if bad > voterplacement.excess(better, places.halls):', 'if False:',
         'losses', 'is awaited',
     ),
     Mutant(
