--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -470,7 +470,9 @@
     counts = {}
     for hall in in_halls(expected).values():
         counts[hall] = counts.get(hall, 0) + 1
-    assert voterplacement.by_hall(context.sets[-1]) == counts, context.sets
+    assert (
+        voterplacement.voters_per_hall(context.sets[-1]) == counts
+    ), context.sets
 
 
 @then('there were never fewer than {least:d} voters')
@@ -665,7 +667,9 @@
 def check_spread(context, count):
     config = context.play.config
     assert len(config.voters) == count, config
-    assert not voterplacement.excess(config, 1), voterplacement.by_hall(config)
+    assert not voterplacement.excess(
+        config, 1
+    ), voterplacement.voters_per_hall(config)
 
 
 @then('no box that is reached names a lost one {limit_s:g} s after the loss')
@@ -853,7 +857,7 @@
             lambda: world.leader()
             and len(world.config().halls) == len(world.config().addresses())
         )
-        return voterplacement.by_hall(world.config())
+        return voterplacement.voters_per_hall(world.config())
 
     context.halls = play(context, script)
 
--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -98,7 +98,7 @@
     grown = None if is_full else _grow(config, places)
     if grown:
         return grown
-    found = voterplacement.best_exchange(
+    found = voterplacement.best_replacement(
         config, places.silent, places.ready, leader, places.halls
     )
     if not found:
@@ -257,7 +257,7 @@
                 logger.info(
                     'controllers',
                     voters=sorted(wanted.voters),
-                    halls=voterplacement.by_hall(wanted),
+                    halls=voterplacement.voters_per_hall(wanted),
                 )
             except (errors.MountridgeError, trio.TooSlowError) as problem:
                 logger.debug('controllers unchanged', reason=str(problem))
@@ -278,9 +278,9 @@
         now_s = self.app.now_s()
         silent = [k for k in node.config.voters if _silent(node, k, now_s)]
         answering = set(node.config.voters).difference(silent)
-        halls = voterplacement.by_hall(node.config)
+        halls = voterplacement.voters_per_hall(node.config)
         at_once = max(1, self._hall_losses)
-        left = voterplacement.left_over(node.config, answering, at_once)
+        left = voterplacement.surplus(node.config, answering, at_once)
         told = (halls, sorted(silent), left < 0)
         if told == self._told:
             return
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1054,23 +1054,23 @@
     ),
     Mutant(
         'losses: a replacement gathers a majority', 'voterplacement',
-        'if voter in silent and excess_after > now:', 'if False:', 'losses',
-        'Voters stand',
+        'if voter in unresponsive and new_excess > current_excess:',
+        'if False:', 'losses', 'Voters stand',
     ),
     Mutant(
         'losses: voters change places for nothing', 'voterplacement',
-        'if voter not in silent and excess_after >= now:', 'if False:',
-        'losses', 'Voters stand',
+        'if voter not in unresponsive and new_excess >= current_excess:',
+        'if False:', 'losses', 'Voters stand',
     ),
     Mutant(
         'losses: any learner will do', 'voterplacement',
-        'return excess(changed, hall_losses), by_hall(changed)',
-        'return 0, {}', 'losses', 'Voters stand',
+        'excess(changed, hall_losses),\n        voters_per_hall(changed)',
+        '0,\n        {}', 'losses', 'Voters stand',
     ),
     Mutant(
         'losses: whoever is removed', 'voterplacement',
-        '            excess(changed, hall_losses),\n            key == ',
-        '            key == ', 'losses', 'Voters stand',
+        '            excess(changed, hall_losses),\n            node_id == ',
+        '            node_id == ', 'losses', 'Voters stand',
     ),
     Mutant(
         'losses: a place is made before it can be filled', 'formation',
