--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -1,12 +1,13 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""How the set of controllers forms itself and replaces lost boxes.
+"""Formation of the controller cluster and replacement of lost boxes.
 
 The founder, named by the settings of the very first start, begins as the
-only voter. Every other controller asks the leader to let it join: it gets
-the log as a learner, and becomes a voter while there are fewer than the
-losses to be borne demand. An emptied disk has another identity, so it joins
-as new; the voter of the same name is then gone for good and is removed.
+only voter. Every other controller sends a join request to the leader: it
+gets the log as a learner and is promoted as long as there are fewer voters
+than the configured losses require. A controller with a wiped disk has a new
+identity and joins as a new one; the member of the same name is then removed,
+as its identity is lost.
 """
 
 import typing
@@ -22,130 +23,145 @@
 
 __all__ = ['Formation', 'add', 'next_config']
 
-#: Between two looks at the set of controllers. A joiner should be a voter
-#: well within the 4 s that sites give a returned disk to catch up.
-STEP_S = 0.2
-#: How often a controller that takes part asks whether it still does.
-REJOIN_S = 2.0
-#: A voter that has been silent for this long gives its place to a learner
-#: that answers. Above a restart (about 1 s), below the losses' spacing.
-SILENT_VOTER_S = 3.0
-#: A change that is not committed by then waits for the next look; a leader
-#: cut off from the others would wait for ever.
-CHANGE_S = 5.0
-#: How often the leader tells the seeds who the controllers are. After a loss
-#: of power a process knows the seeds alone, and those may be no controllers.
-TELL_S = 0.2
+#: Interval at which the leader checks the set of controllers, and at which a
+#: controller that is no member requests to join.
+RECONCILE_INTERVAL_S = 0.2
+#: Interval at which a member checks that it still is one; also the timeout of
+#: a join request.
+JOIN_INTERVAL_S = 2.0
+#: A voter that has not responded for this long is replaced by a responsive
+#: learner. Longer than a restart.
+VOTER_TIMEOUT_S = 3.0
+#: Timeout for the commit of a change, which is then left to the next check; a
+#: leader that is cut off from the others would wait for ever.
+CHANGE_TIMEOUT_S = 5.0
+#: Interval at which the leader sends the list of controllers to the seeds.
+#: After a power loss a process knows the seeds only, and these need not be
+#: controllers.
+ANNOUNCE_INTERVAL_S = 0.2
 
 
 def next_config(
-    node: consensus.Node, most_voters: int, hall_losses: int, now_s: float
+    node: consensus.Node, max_voters: int, hall_losses: int, now_s: float
 ) -> entries.Config | None:
-    """Return the next set of controllers, or None where it is right.
+    """Return the next set of controllers, or None if it need not change.
 
-    One voter changes at a time: a silent one goes when a learner that
-    answers can take its place, and learners fill the places. Where whole
-    halls may be lost, see `_next_spread`.
+    One voter changes at a time: an unresponsive one is removed once a learner
+    is ready to replace it, and learners are promoted up to ``max_voters``.
+    If the loss of whole halls is tolerated, `_next_placement` decides.
     """
     ready = [
-        key
-        for key in sorted(node.config.learners)
-        if _is_caught_up(node, key, now_s)
+        node_id
+        for node_id in sorted(node.config.learners)
+        if _is_caught_up(node, node_id, now_s)
+    ]
+    unresponsive = [
+        node_id
+        for node_id in sorted(node.config.voters)
+        if _is_unresponsive(node, node_id, now_s)
     ]
-    silent = [k for k in sorted(node.config.voters) if _silent(node, k, now_s)]
     if hall_losses:
-        coming = [
-            key
-            for key in sorted(node.config.learners)
-            if key not in ready and not _silent(node, key, now_s)
+        catching_up = [
+            node_id
+            for node_id in sorted(node.config.learners)
+            if node_id not in ready
+            and not _is_unresponsive(node, node_id, now_s)
         ]
-        places = _Places(most_voters, hall_losses, ready, coming, silent)
-        return _next_spread(node.config, node.node_id, places)
+        state = _PlacementState(
+            max_voters, hall_losses, ready, catching_up, unresponsive
+        )
+        return _next_placement(node.config, node.node_id, state)
     if not ready:
         return None
-    if len(node.config.voters) >= most_voters:
-        return node.config.without(silent[0]) if silent else None
+    if len(node.config.voters) >= max_voters:
+        return node.config.without(unresponsive[0]) if unresponsive else None
     return node.config.promote(ready[0])
 
 
-class _Places(typing.NamedTuple):
-    """What decides who should be a voter."""
+class _PlacementState(typing.NamedTuple):
+    """Limits of the voter placement, and the state of the controllers."""
 
-    most: int  # voters
-    halls: int  # that may be lost at once
-    ready: list[str]  # learners that could be voters now
-    coming: list[str]  # learners that answer and soon could
-    silent: list[str]  # voters
+    max_voters: int
+    hall_losses: int  # whole halls that may be lost at once
+    ready: list[str]  # learners that can be promoted
+    catching_up: list[str]  # responsive learners that are not ready yet
+    unresponsive: list[str]  # voters
 
 
-def _next_spread(
-    config: entries.Config, leader: str, places: _Places
+def _next_placement(
+    config: entries.Config, leader: str, state: _PlacementState
 ) -> entries.Config | None:
-    """Return the next set where any halls may go and a majority stays.
+    """Return the next set on the way to one that survives hall losses.
 
-    Where there are as many voters as the losses of boxes demand, who is to
-    replace another is added first. Before that, of an odd number one goes
-    first: for a look and a commit there is one fewer.
+    In a full set, the replacement is promoted before the old voter is
+    removed. In a smaller one the old voter is removed first: there is one
+    voter fewer until the next check has committed the promotion.
     """
-    if len(config.voters) > places.most:
-        gone = voterplacement.best_removal(
-            config, places.silent, leader, places.halls
+    if len(config.voters) > state.max_voters:
+        removed = voterplacement.best_removal(
+            config, state.unresponsive, leader, state.hall_losses
         )
-        return config.without(gone)
-    if not places.ready:
+        return config.without(removed)
+    if not state.ready:
         return None
-    is_full = len(config.voters) == places.most
-    grown = None if is_full else _grow(config, places)
+    is_full = len(config.voters) == state.max_voters
+    grown = None if is_full else _add_voter(config, state)
     if grown:
         return grown
-    found = voterplacement.best_replacement(
-        config, places.silent, places.ready, leader, places.halls
+    replacement = voterplacement.best_replacement(
+        config, state.unresponsive, state.ready, leader, state.hall_losses
     )
-    if not found:
+    if not replacement:
         return None
-    learner, voter = found
+    learner, voter = replacement
     return config.promote(learner) if is_full else config.without(voter)
 
 
-def _grow(config: entries.Config, places: _Places) -> entries.Config | None:
-    """Return ``config`` with one more voter, where that helps.
+def _add_voter(
+    config: entries.Config, state: _PlacementState
+) -> entries.Config | None:
+    """Return ``config`` with one more voter, or None if that doesn't help.
 
-    Four voters bear no more than three, and the hall with two of them may
-    not be lost; so the fourth comes only when a fifth is at hand.
+    Four voters tolerate no more losses than three, and the loss of the hall
+    with two of them stops the log; a fourth one is therefore promoted only
+    if a fifth is ready. A learner that is still catching up is waited for if
+    its promotion would give a lower excess.
     """
     if len(config.voters) % 2 and len(config.voters) > 1:
-        if len(places.ready) < 2:
+        if len(state.ready) < 2:
             return None
-    key = voterplacement.best_addition(config, places.ready, places.halls)
-    soon = voterplacement.best_addition(
-        config, places.ready + places.coming, places.halls
+    learner = voterplacement.best_addition(
+        config, state.ready, state.hall_losses
+    )
+    best = voterplacement.best_addition(
+        config, state.ready + state.catching_up, state.hall_losses
     )
-    if soon in places.coming:
-        grown, better = config.promote(key), config.promote(soon)
-        bad = voterplacement.excess(grown, places.halls)
-        if bad > voterplacement.excess(better, places.halls):
+    if best in state.catching_up:
+        grown, better = config.promote(learner), config.promote(best)
+        excess = voterplacement.excess(grown, state.hall_losses)
+        if excess > voterplacement.excess(better, state.hall_losses):
             return None
-    return config.promote(key)
+    return config.promote(learner)
 
 
-def _is_caught_up(node: consensus.Node, key: str, now_s: float) -> bool:
+def _is_caught_up(node: consensus.Node, node_id: str, now_s: float) -> bool:
     try:
-        replication.check_caught_up(node, key, now_s)
+        replication.check_caught_up(node, node_id, now_s)
     except errors.RefusedChange:
         return False
     return True
 
 
-def _silent(node: consensus.Node, key: str, now_s: float) -> bool:
-    if key == node.node_id:
+def _is_unresponsive(node: consensus.Node, node_id: str, now_s: float) -> bool:
+    if node_id == node.node_id:
         return False
-    peer = node.peers.get(key)
-    heard_s = max(node.led_s, peer.acked_sent_s) if peer else node.led_s
-    return now_s - heard_s > SILENT_VOTER_S
+    peer = node.peers.get(node_id)
+    responded_s = max(node.led_s, peer.acked_sent_s) if peer else node.led_s
+    return now_s - responded_s > VOTER_TIMEOUT_S
 
 
 class Formation:
-    """One controller's part in it: asking to join, and letting others."""
+    """Joins this controller to the cluster; as leader, changes its members."""
 
     def __init__(
         self,
@@ -157,54 +173,60 @@
         self.replica = replica
         self.leader = leader
         bounds = app.settings['bounds']
-        self._most_voters = 2 * max(1, bounds['controller_losses']) + 1
+        self._max_voters = 2 * max(1, bounds['controller_losses']) + 1
         self._hall_losses = bounds['hall_losses']
-        #: Boxes that change their former place for another one now.
+        #: Join requests in progress; meanwhile nothing else changes the set.
         self._joining = 0
-        #: What the last line on the spread said.
-        self._told: tuple | None = None
-        signals.leader_known.connect(self._follow_leader, sender=replica)
+        #: Voters per hall, unresponsive voters and warning last logged.
+        self._reported: tuple | None = None
+        signals.leader_known.connect(self._update_leader, sender=replica)
 
-    def _follow_leader(self, sender: typing.Any, address: str) -> None:
-        """Let the calls of this process go to the leader at once."""
+    def _update_leader(self, sender: typing.Any, address: str) -> None:
+        """Send the calls of this process to a new leader without a search."""
         self.leader.follow(address)
 
     async def on_join(self, peer, join: messages.Join) -> messages.Registered:
-        """Let a controller take part, as a learner at first."""
+        """Add a controller as a learner.
+
+        :raises RefusedChange: it was not committed in time.
+        """
         self.replica.check_leader()
-        if self._is_known(join):
+        if self._is_member(join):
             return messages.Registered()
-        logger.info('controller joins', **join._asdict())
+        logger.info('controller joining', **join._asdict())
         self._joining += 1
         try:
-            with trio.move_on_after(CHANGE_S) as scope:
-                await self._take(join)
+            with trio.move_on_after(CHANGE_TIMEOUT_S) as scope:
+                await self._add_member(join)
         finally:
             self._joining -= 1
         if scope.cancelled_caught:
-            raise errors.RefusedChange('it was not committed in time')
+            raise errors.RefusedChange('the change was not committed in time')
         return messages.Registered()
 
-    def _is_known(self, join: messages.Join) -> bool:
+    def _is_member(self, join: messages.Join) -> bool:
         config = self.replica.node.config
         if config.addresses().get(join.node_id) != join.address:
             return False
         return not join.hall or config.halls.get(join.node_id) == join.hall
 
-    async def _take(self, join: messages.Join) -> None:
-        """Add a controller in place of former ones of the same name."""
-        own = (join.node_id, join.address)
-        for known in list(self.replica.node.config.addresses().items()):
-            if known != own and known[0].partition('.')[0] == join.name:
-                logger.info('controller replaced', node_id=known[0])
+    async def _add_member(self, join: messages.Join) -> None:
+        """Add a controller after removing earlier ones of the same name."""
+        new_member = (join.node_id, join.address)
+        for member in list(self.replica.node.config.addresses().items()):
+            if (
+                member != new_member
+                and member[0].partition('.')[0] == join.name
+            ):
+                logger.info('removing replaced controller', node_id=member[0])
                 config = self.replica.node.config
-                await self.replica.change_config(config.without(known[0]))
+                await self.replica.change_config(config.without(member[0]))
         config = self.replica.node.config
         joined = config.join(join.node_id, join.address, join.hall)
         await self.replica.change_config(joined)
 
-    async def ask_to_join(self) -> None:
-        """Ask until this controller takes part, and look again later."""
+    async def maintain_membership(self) -> None:
+        """Join this controller to the cluster, and again after a removal."""
         node = self.replica.node
         join = messages.Join(
             node.node_id,
@@ -216,94 +238,104 @@
             self.leader.learn(self.controllers())
             if node.role != consensus.LEADER:
                 try:
-                    await self.leader.call(join, REJOIN_S)
+                    await self.leader.call(join, JOIN_INTERVAL_S)
                 except errors.MountridgeError as problem:
-                    logger.debug('not joined', reason=str(problem))
-            takes_part = node.node_id in node.config.addresses()
-            await trio.sleep(REJOIN_S if takes_part else STEP_S)
+                    logger.debug('join failed', reason=str(problem))
+            is_member = node.node_id in node.config.addresses()
+            await trio.sleep(
+                JOIN_INTERVAL_S if is_member else RECONCILE_INTERVAL_S
+            )
 
     def controllers(self) -> dict[str, str]:
-        """Return the controllers that this one knows, by name."""
+        """Return the addresses of the known controllers by name."""
         return members.by_name(self.replica.node.config.addresses())
 
-    async def tell_seeds(self) -> None:
-        """While leading, tell the seeds who the controllers are."""
+    async def announce_to_seeds(self) -> None:
+        """While leading, send the list of controllers to the seeds."""
         callers: dict[str, sockets.Caller] = {}
         while True:
-            await trio.sleep(TELL_S)
+            await trio.sleep(ANNOUNCE_INTERVAL_S)
             if not self.replica.lease_valid():
                 continue
-            told = messages.Controllers(self.controllers())
+            announcement = messages.Controllers(self.controllers())
             for address in self.leader.seeds:
                 if address not in callers:
                     callers[address] = self.app.connect(address, '')
-                if not callers[address].send(told):
+                if not callers[address].send(announcement):
                     self.app.metrics.incr('seed.unsent')
 
-    async def steward(self) -> None:
-        """While leading, bring the set of controllers closer to right."""
+    async def reconcile(self) -> None:
+        """While leading, change the set of controllers step by step."""
         while True:
-            await trio.sleep(STEP_S)
+            await trio.sleep(RECONCILE_INTERVAL_S)
             if not self.replica.lease_valid():
-                self._told = None
+                self._reported = None
                 continue
-            self._tell_spread()
-            wanted = self._wanted()
-            if wanted is None or self._joining:
+            self._report_placement()
+            config = self._desired_config()
+            if config is None or self._joining:
                 continue
             try:
-                with trio.fail_after(CHANGE_S):
-                    await self.replica.change_config(wanted)
+                with trio.fail_after(CHANGE_TIMEOUT_S):
+                    await self.replica.change_config(config)
                 logger.info(
-                    'controllers',
-                    voters=sorted(wanted.voters),
-                    halls=voterplacement.voters_per_hall(wanted),
+                    'controller set changed',
+                    voters=sorted(config.voters),
+                    halls=voterplacement.voters_per_hall(config),
                 )
             except (errors.MountridgeError, trio.TooSlowError) as problem:
-                logger.debug('controllers unchanged', reason=str(problem))
+                logger.debug('controller set not changed', reason=str(problem))
 
-    def _wanted(self) -> entries.Config | None:
+    def _desired_config(self) -> entries.Config | None:
         node = self.replica.node
         hall = self.app.settings['hall']
         if node.config.halls.get(node.node_id, '') != hall:
-            # A leader does not ask to join, and an older log tells no halls.
+            # A leader sends no join request, and older logs hold no halls.
             address = self.app.settings['bind']
             return node.config.join(node.node_id, address, hall)
         now_s = self.app.now_s()
-        return next_config(node, self._most_voters, self._hall_losses, now_s)
+        return next_config(node, self._max_voters, self._hall_losses, now_s)
 
-    def _tell_spread(self) -> None:
-        """Show how the voters stand; a line where that has changed."""
+    def _report_placement(self) -> None:
+        """Update the metrics of the voter placement, and log changes."""
         node = self.replica.node
         now_s = self.app.now_s()
-        silent = [k for k in node.config.voters if _silent(node, k, now_s)]
-        answering = set(node.config.voters).difference(silent)
+        unresponsive = [
+            node_id
+            for node_id in node.config.voters
+            if _is_unresponsive(node, node_id, now_s)
+        ]
+        responsive = set(node.config.voters).difference(unresponsive)
         halls = voterplacement.voters_per_hall(node.config)
-        at_once = max(1, self._hall_losses)
-        left = voterplacement.surplus(node.config, answering, at_once)
-        told = (halls, sorted(silent), left < 0)
-        if told == self._told:
+        hall_losses = max(1, self._hall_losses)
+        surplus = voterplacement.surplus(node.config, responsive, hall_losses)
+        placement = (halls, sorted(unresponsive), surplus < 0)
+        if placement == self._reported:
             return
-        before = self._told[0] if self._told else {}
-        self._told = told
+        before = self._reported[0] if self._reported else {}
+        self._reported = placement
         for hall, count in {**dict.fromkeys(before, 0), **halls}.items():
             self.app.metrics.gauge(f'controllers.voters.{hall}', count)
-        self.app.metrics.gauge('controllers.silent', len(silent))
-        self.app.metrics.gauge('controllers.hall_loss_stops', int(left < 0))
+        self.app.metrics.gauge('controllers.silent', len(unresponsive))
+        self.app.metrics.gauge('controllers.hall_loss_stops', int(surplus < 0))
         if not self._hall_losses:
             return
-        tell = logger.warning if left < 0 else logger.info
-        tell(
+        log = logger.warning if surplus < 0 else logger.info
+        log(
             'voters by hall',
             halls=halls,
-            silent=sorted(silent),
-            halls_to_bear=at_once,
-            left_over=left,
-            hall_loss_stops=left < 0,
+            silent=sorted(unresponsive),
+            halls_to_bear=hall_losses,
+            left_over=surplus,
+            hall_loss_stops=surplus < 0,
         )
 
 
-def add(app: application.Application, formed: Formation) -> None:
-    """Put the handlers and tasks of ``formed`` into ``app``."""
-    app.handlers[messages.Join] = formed.on_join
-    app.tasks += [formed.ask_to_join, formed.steward, formed.tell_seeds]
+def add(app: application.Application, formation: Formation) -> None:
+    """Add the handlers and tasks of a formation to ``app``."""
+    app.handlers[messages.Join] = formation.on_join
+    app.tasks += [
+        formation.maintain_membership,
+        formation.reconcile,
+        formation.announce_to_seeds,
+    ]
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1079,12 +1079,12 @@
     ),
     Mutant(
         'losses: a fourth voter with no fifth', 'formation',
-        'if len(places.ready) < 2:', 'if False:', 'losses', 'A fourth voter',
+        'if len(state.ready) < 2:', 'if False:', 'losses', 'A fourth voter',
     ),
     Mutant(
         'losses: a better learner is not awaited', 'formation',
-        'if bad > voterplacement.excess(better, places.halls):', 'if False:',
-        'losses', 'is awaited',
+        'if excess > voterplacement.excess(better, state.hall_losses):',
+        'if False:', 'losses', 'is awaited',
     ),
     Mutant(
         'losses: a leader that no log tells the hall of', 'formation',
@@ -1098,13 +1098,13 @@
     ),
     Mutant(
         'losses: the spread is not told', 'formation',
-        "self.app.metrics.gauge('controllers.hall_loss_stops', int(left < 0))",
-        'pass', 'losses', 'it is said',
+        "self.app.metrics.gauge('controllers.hall_loss_stops', "
+        'int(surplus < 0))', 'pass', 'losses', 'it is said',
     ),
     Mutant(
         'losses: the spread is told at each look', 'formation',
-        '        if told == self._told:\n', '        if False:\n', 'losses',
-        'it is said',
+        '        if placement == self._reported:\n',
+        '        if False:\n', 'losses', 'it is said',
     ),
     Mutant(
         'losses: boxes of a lost hall are noted one by one', 'controller',
