--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -15,7 +15,7 @@
 
 from features.worlds import answers, system as system_world
 from mountridge import clihalls
-from mountridge.control import halloffice
+from mountridge.control import hallmanager
 from mountridge.documents import halls, instances, routes
 from mountridge import errors, messages, metrics
 from mountridge.net import dialects, httpserver
@@ -693,12 +693,12 @@
 @when('a replica that no quorum confirms as the leader is asked for its halls')
 def ask_deposed(context):
     async def main():
-        office = halloffice.HallOffice(
+        manager = hallmanager.HallManager(
             None, context.machine, _NoQuorum(), lambda: None
         )
         context.reply = None
         with contextlib.suppress(errors.NotLeader):
-            context.reply = await office.on_read(None, messages.ReadHalls())
+            context.reply = await manager.on_read(None, messages.ReadHalls())
 
     trio.run(main)
 
--- a/mountridge/control/halloffice.py
+++ b/mountridge/control/hallmanager.py
@@ -14,10 +14,10 @@
 from mountridge.logs import logger
 from mountridge.state import commands, statemachine
 
-__all__ = ['HallOffice']
+__all__ = ['HallManager']
 
 
-class HallOffice:
+class HallManager:
     """Answers `ReadHalls` and `SetHall` while this controller leads."""
 
     def __init__(
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -13,7 +13,7 @@
 
 from mountridge import application, errors, messages, utils
 from mountridge.consensus import consensus, entries, replicas, storage
-from mountridge.control import changes, halloffice, leadership
+from mountridge.control import changes, hallmanager, leadership
 from mountridge.control import quarantineoffice, registry
 from mountridge.groups import groups
 from mountridge.logs import logger
@@ -52,7 +52,7 @@
         self.leases = leases.LeaseTable(0.0, 0.0)
         self.apportioner = limits.Apportioner(0.0)
         self.registry = registry.Registry(app, self.machine, self.replica)
-        self.halls = halloffice.HallOffice(
+        self.halls = hallmanager.HallManager(
             app, self.machine, self.replica, self.push
         )
         self.quarantine = quarantineoffice.QuarantineOffice(
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1140,7 +1140,7 @@
         'halls', 'state of halls',
     ),
     Mutant(
-        'halls: a leader tells what no quorum confirms', 'halloffice',
+        'halls: a leader tells what no quorum confirms', 'hallmanager',
         '        await self._replica.confirm()\n', '', 'halls', 'deposed',
     ),
     Mutant(
