--- a/mountridge/control/hallmanager.py
+++ b/mountridge/control/hallmanager.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The leader's office for halls that are out of service.
+"""Management of halls that are out of service, on the leader.
 
-What holds is in the replicated state and reaches gateways with the view.
-An order names the revision of the hall that it was made on, and changes
-nothing where another order came between.
+The state of each hall is replicated and reaches gateways with the view. An
+order names the revision of the hall on which it is based, and is rejected if
+another order has changed the hall since.
 """
 
 import typing
@@ -18,7 +18,7 @@
 
 
 class HallManager:
-    """Answers `ReadHalls` and `SetHall` while this controller leads."""
+    """Handles `ReadHalls` and `SetHall` while this controller leads."""
 
     def __init__(
         self,
@@ -37,25 +37,25 @@
     ) -> messages.HallsReply:
         """Return all halls, confirmed by a quorum."""
         await self._replica.confirm()
-        listed = self._machine.halls
-        return messages.HallsReply([listed[name] for name in sorted(listed)])
+        halls = self._machine.halls
+        return messages.HallsReply([halls[name] for name in sorted(halls)])
 
     async def on_set(
         self, peer: application.Peer, order: messages.SetHall
     ) -> messages.HallsReply:
-        """Take a hall out of service or put it back, once committed.
+        """Take a hall out of service or back in; reply once committed.
 
-        :raises HallChanged: another order came between; nothing is changed.
+        :raises HallChanged: another order was committed first; no change.
         """
         self._replica.check_leader()
         before = self._machine.halls.get(order.hall)
         command = commands.SetHall(*order, self.app.wall_s())
         try:
-            held = await self._replica.propose(commands.encode(command))
+            hall = await self._replica.propose(commands.encode(command))
         except errors.HallChanged as problem:
             self.app.metrics.incr('halls.changed_between')
             logger.info(
-                'hall order too late',
+                'hall order rejected',
                 **order._asdict(),
                 by=_sender(peer),
                 reason=str(problem),
@@ -64,19 +64,19 @@
         self._push()
         self.app.metrics.incr('halls.orders')
         logger.info(
-            'hall',
-            hall=held.name,
+            'hall order committed',
+            hall=hall.name,
             was_out=bool(before and before.is_out),
-            is_out=held.is_out,
+            is_out=hall.is_out,
             read_revision=order.revision,
-            revision=held.revision,
+            revision=hall.revision,
             by=_sender(peer),
         )
-        return messages.HallsReply([held])
+        return messages.HallsReply([hall])
 
 
 def _sender(peer: application.Peer | None) -> str:
-    """Return the name of the process that passed an order on."""
+    """Return the name of the process that forwarded an order."""
     if peer is None:
         return ''
     return peer.name or peer.route.decode('latin-1').partition('.')[0]
