--- a/mountridge/control/quarantineoffice.py
+++ b/mountridge/control/quarantinemanager.py
@@ -15,7 +15,7 @@
 from mountridge.logs import logger
 from mountridge.state import commands, statemachine
 
-__all__ = ['QuarantineOffice', 'hold_s']
+__all__ = ['QuarantineManager', 'hold_s']
 
 #: How long a request is held back before it may be tried once: far above the
 #: seconds in which callers come again by themselves. Each time it has crashed
@@ -33,7 +33,7 @@
     return min(MOST_HOLD_S, HOLD_S * LONGER ** (holds - 1))
 
 
-class QuarantineOffice:
+class QuarantineManager:
     """Counts crashes and holds requests back while this one leads."""
 
     def __init__(
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -14,7 +14,7 @@
 from mountridge import application, errors, messages, utils
 from mountridge.consensus import consensus, entries, replicas, storage
 from mountridge.control import changes, hallmanager, leadership
-from mountridge.control import quarantineoffice, registry
+from mountridge.control import quarantinemanager, registry
 from mountridge.groups import groups
 from mountridge.logs import logger
 from mountridge.state import claims, commands, leases, limits, members
@@ -55,7 +55,7 @@
         self.halls = hallmanager.HallManager(
             app, self.machine, self.replica, self.push
         )
-        self.quarantine = quarantineoffice.QuarantineOffice(
+        self.quarantine = quarantinemanager.QuarantineManager(
             app, self.machine, self.replica, self.push
         )
         #: What engines allow of expert maps, by runner; set by the entry.
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -750,17 +750,17 @@
         'quarantine',
     ),
     Mutant(
-        'quarantine: what ended well stays on trial', 'quarantineoffice',
+        'quarantine: what ended well stays on trial', 'quarantinemanager',
         'elif known is not None and (seen or not known.is_held):',
         'elif known is not None and seen:', 'quarantine',
     ),
     Mutant(
-        'quarantine: a trial that crashes takes two', 'quarantineoffice',
+        'quarantine: a trial that crashes takes two', 'quarantinemanager',
         'most = 1 if is_trial else quarantines.HOLD_AT',
         'most = quarantines.HOLD_AT', 'quarantine',
     ),
     Mutant(
-        'quarantine: nothing is ever tried again', 'quarantineoffice',
+        'quarantine: nothing is ever tried again', 'quarantinemanager',
         'if now_s - since_s >= span_s:', 'if False:', 'quarantine',
     ),
     Mutant(
