--- a/mountridge/control/quarantinemanager.py
+++ b/mountridge/control/quarantinemanager.py
@@ -1,10 +1,14 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The leader's office for requests that crash their runners.
+"""Quarantine of requests that crash their runners, on the leader.
 
-It counts crashes over all gateways in memory, which they tell again to a new
-leader. What is held back is in the replicated state and reaches gateways with
-the view, so that neither a new leader nor a restart of all forgets it.
+The crashes at all gateways are counted in memory; the gateways report them
+again to a new leader. The quarantined requests are replicated and reach
+gateways with the view, so they survive a change of leader and a restart of
+all processes.
+
+At the end of its quarantine a request is probed: it may run again, and a
+single crash puts it back into quarantine.
 """
 
 import typing
@@ -15,26 +19,26 @@
 from mountridge.logs import logger
 from mountridge.state import commands, statemachine
 
-__all__ = ['QuarantineManager', 'hold_s']
+__all__ = ['QuarantineManager', 'quarantine_s']
 
-#: How long a request is held back before it may be tried once: far above the
-#: seconds in which callers come again by themselves. Each time it has crashed
-#: a runner anew, four times as long: 4 tries in the first 85 minutes.
-HOLD_S, LONGER, MOST_HOLD_S = 60.0, 4.0, 14_400.0
-#: What may be tried is forgotten after this long without a crash.
-FORGET_S = 3600.0
-#: Suspects that are counted; a gateway tells of 64 at most.
-MOST_SUSPECTS = 5000
+#: The first quarantine of a request, the factor by which each further one is
+#: longer, and the longest. Far longer than callers wait before they retry.
+QUARANTINE_S, GROWTH, MAX_QUARANTINE_S = 60.0, 4.0, 14_400.0
+#: A request that is probed is released after this long without a crash.
+PROBING_S = 3600.0
+#: Most digests whose crashes are counted; likewise, most that are kept as
+#: cleared. The least recently reported ones are removed first.
+MAX_SUSPECTS = 5000
 NEVER_S = float('-inf')
 
 
-def hold_s(holds: int) -> float:
-    """Return for how long a request is held back the n-th time."""
-    return min(MOST_HOLD_S, HOLD_S * LONGER ** (holds - 1))
+def quarantine_s(count: int) -> float:
+    """Return the duration of the n-th quarantine, from ``count`` 1 on."""
+    return min(MAX_QUARANTINE_S, QUARANTINE_S * GROWTH ** (count - 1))
 
 
 class QuarantineManager:
-    """Counts crashes and holds requests back while this one leads."""
+    """Counts crashes and quarantines requests while this controller leads."""
 
     def __init__(
         self,
@@ -47,130 +51,149 @@
         self._machine = machine
         self._replica = replica
         self._push = push
-        #: When each life crashed, by digest.
+        #: Time of the crash of each incarnation of a runner, by digest.
         self._crashed_s: dict[bytes, dict[tuple, float]] = {}
-        #: Crashes up to then are settled; reports of them may still come.
-        self._settled_s: dict[bytes, float] = {}
-        #: Since when this leader has seen each state of what was held.
+        #: Crashes up to this time don't count, by digest. They may still be
+        #: reported, as gateways repeat their reports.
+        self._cleared_s: dict[bytes, float] = {}
+        #: By digest: whether it is quarantined, and since when this leader has
+        #: seen that state.
         self._since: dict[bytes, tuple[bool, float]] = {}
-        #: How many are held back, as it was last told; -1 for never.
-        self._told_held = -1
+        #: Number of quarantined requests as last set in the metric, or -1.
+        self._reported_count = -1
 
     def begin_term(self) -> None:
-        """Forget what another leader may know better."""
+        """Discard the counts of earlier terms; gateways report them again."""
         self._crashed_s.clear()
-        self._settled_s.clear()
+        self._cleared_s.clear()
         self._since.clear()
-        self._told_held = -1
+        self._reported_count = -1
 
     async def on_report(
         self, peer: application.Peer, report: messages.CrashReport
     ) -> messages.CrashesTaken:
-        """Count crashes; hold back what they prove, free what ended well."""
+        """Apply a gateway's report of crashes and of successful requests.
+
+        Replies once the changes of the quarantine are committed.
+        """
         self._replica.check_leader()
         now_s = self.app.now_s()
         for digest, age_s in report.good:
             await self._clear(digest, now_s - age_s)
         for crash in report.crashes:
-            await self._count(crash, now_s)
+            await self._count_crash(crash, now_s)
         return messages.CrashesTaken()
 
-    async def _clear(self, digest: bytes, good_s: float) -> None:
-        """Drop crashes before a good end, and a hold that stood on them.
+    async def _clear(self, digest: bytes, succeeded_s: float) -> None:
+        """Discard crashes before a success, and a quarantine based on them.
 
-        One whose crashes this leader does not know stands, but for a trial.
+        A quarantine whose crashes this leader doesn't know stays in force,
+        unless the request is being probed.
         """
         seen = self._crashed_s.pop(digest, {})
-        later = {life: at_s for life, at_s in seen.items() if at_s > good_s}
-        self._settle(digest, good_s)
+        later = {
+            incarnation: at_s
+            for incarnation, at_s in seen.items()
+            if at_s > succeeded_s
+        }
+        self._mark_cleared(digest, succeeded_s)
         known = self._machine.quarantine.get(digest)
         if later:
             self._crashed_s[digest] = later
         elif known is not None and (seen or not known.is_held):
-            await self._release(digest, is_trial=False, why='ended well')
+            await self._release(digest, is_probing=False, why='succeeded')
 
-    def _settle(self, digest: bytes, until_s: float) -> None:
-        until_s = max(until_s, self._settled_s.pop(digest, NEVER_S))
-        self._settled_s[digest] = until_s
-        while len(self._settled_s) > MOST_SUSPECTS:
-            del self._settled_s[next(iter(self._settled_s))]
+    def _mark_cleared(self, digest: bytes, until_s: float) -> None:
+        until_s = max(until_s, self._cleared_s.pop(digest, NEVER_S))
+        self._cleared_s[digest] = until_s
+        while len(self._cleared_s) > MAX_SUSPECTS:
+            del self._cleared_s[next(iter(self._cleared_s))]
 
-    async def _count(self, crash: quarantines.Crash, now_s: float) -> None:
+    async def _count_crash(
+        self, crash: quarantines.Crash, now_s: float
+    ) -> None:
         known = self._machine.quarantine.get(crash.digest)
         crashed_s = now_s - crash.age_s
-        if crashed_s <= self._settled_s.get(crash.digest, NEVER_S):
+        if crashed_s <= self._cleared_s.get(crash.digest, NEVER_S):
             return
-        is_trial = known is not None and not known.is_held
+        is_probing = known is not None and not known.is_held
         seen = self._crashed_s.pop(crash.digest, {})
         is_new = crash.life not in seen
         seen.setdefault(crash.life, crashed_s)
-        for life, at_s in list(seen.items()):
+        for incarnation, at_s in list(seen.items()):
             if now_s - at_s >= quarantines.KEPT_S:
-                del seen[life]
+                del seen[incarnation]
         self._crashed_s[crash.digest] = seen
-        while len(self._crashed_s) > MOST_SUSPECTS:
+        while len(self._crashed_s) > MAX_SUSPECTS:
             del self._crashed_s[next(iter(self._crashed_s))]
         if is_new:
             self.app.metrics.incr('quarantine.suspected')
-        # One crash in its trial is enough: it had crashed several before.
-        most = 1 if is_trial else quarantines.HOLD_AT
-        is_held = known is not None and known.is_held
-        if not is_held and len(seen) >= most:
-            await self._hold(crash.digest, len(seen))
+        # A probed request has crashed several runners before.
+        threshold = 1 if is_probing else quarantines.HOLD_AT
+        is_quarantined = known is not None and known.is_held
+        if not is_quarantined and len(seen) >= threshold:
+            await self._quarantine(crash.digest, len(seen))
 
-    async def _hold(self, digest: bytes, crashes: int) -> None:
+    async def _quarantine(self, digest: bytes, crashes: int) -> None:
         command = commands.HoldRequest(digest, crashes, self.app.wall_s())
         held = await self._replica.propose(commands.encode(command))
         self.app.metrics.incr('quarantine.held')
         logger.info(
-            'request held back',
+            'request quarantined',
             digest=digest.hex(),
             crashes=held.crashes,
             holds=held.holds,
             runners=sorted(
-                life[0] for life in self._crashed_s.get(digest, {})
+                incarnation[0]
+                for incarnation in self._crashed_s.get(digest, {})
             ),
-            for_s=hold_s(held.holds),
+            for_s=quarantine_s(held.holds),
         )
         self._push()
 
-    async def _release(self, digest: bytes, is_trial: bool, why: str) -> None:
-        command = commands.ReleaseRequest(digest, is_trial, self.app.wall_s())
+    async def _release(
+        self, digest: bytes, is_probing: bool, why: str
+    ) -> None:
+        command = commands.ReleaseRequest(
+            digest, is_probing, self.app.wall_s()
+        )
         await self._replica.propose(commands.encode(command))
         self._crashed_s.pop(digest, None)
-        self._settle(digest, self.app.now_s())
+        self._mark_cleared(digest, self.app.now_s())
         self.app.metrics.incr('quarantine.released')
         logger.info(
             'request released',
             digest=digest.hex(),
-            may_be_held_again_at_once=is_trial,
+            may_be_held_again_at_once=is_probing,
             why=why,
         )
         self._push()
 
     async def expire(self) -> None:
-        """Let what was held back for long be tried, and forget old ones."""
+        """Probe requests whose quarantine has expired; release probed ones."""
         now_s = self.app.now_s()
-        kept = self._machine.quarantine
-        for digest in self._since.keys() - kept.keys():
+        listed = self._machine.quarantine
+        for digest in self._since.keys() - listed.keys():
             del self._since[digest]
-        for digest, each in list(kept.items()):
+        for digest, each in list(listed.items()):
             state, since_s = self._since.get(digest, (None, now_s))
             if state != each.is_held:
                 state, since_s = each.is_held, now_s
                 self._since[digest] = (state, since_s)
-            span_s = hold_s(each.holds) if each.is_held else FORGET_S
-            if now_s - since_s >= span_s:
-                await self._release(digest, each.is_held, 'its time is over')
-        held = sum(each.is_held for each in kept.values())
-        if held != self._told_held:
-            self._told_held = held
-            self.app.metrics.gauge('quarantine.now', held)
+            duration_s = (
+                quarantine_s(each.holds) if each.is_held else PROBING_S
+            )
+            if now_s - since_s >= duration_s:
+                await self._release(digest, each.is_held, 'expired')
+        count = sum(each.is_held for each in listed.values())
+        if count != self._reported_count:
+            self._reported_count = count
+            self.app.metrics.gauge('quarantine.now', count)
 
     async def on_read(
         self, peer: application.Peer, _: messages.ReadQuarantine
     ) -> messages.QuarantineReply:
-        """Return all that is or was held back, confirmed by a quorum."""
+        """Return quarantined and probed requests, confirmed by a quorum."""
         await self._replica.confirm()
         return messages.QuarantineReply(
             list(self._machine.quarantine.values())
@@ -179,14 +202,14 @@
     async def on_release(
         self, peer: application.Peer, order: messages.Release
     ) -> messages.QuarantineReply:
-        """Release a request by an operator's order, once committed.
+        """Release a request on an operator's order; reply once committed.
 
-        :raises NotHeldBack: it is not known.
+        :raises NotHeldBack: it is neither quarantined nor being probed.
         """
         await self._replica.confirm()
         if order.digest not in self._machine.quarantine:
             raise errors.NotHeldBack(order.digest.hex())
-        await self._release(order.digest, False, 'an operator ordered it')
+        await self._release(order.digest, False, 'ordered by an operator')
         return messages.QuarantineReply(
             list(self._machine.quarantine.values())
         )
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -756,12 +756,12 @@
     ),
     Mutant(
         'quarantine: a trial that crashes takes two', 'quarantinemanager',
-        'most = 1 if is_trial else quarantines.HOLD_AT',
-        'most = quarantines.HOLD_AT', 'quarantine',
+        'threshold = 1 if is_probing else quarantines.HOLD_AT',
+        'threshold = quarantines.HOLD_AT', 'quarantine',
     ),
     Mutant(
         'quarantine: nothing is ever tried again', 'quarantinemanager',
-        'if now_s - since_s >= span_s:', 'if False:', 'quarantine',
+        'if now_s - since_s >= duration_s:', 'if False:', 'quarantine',
     ),
     Mutant(
         'quarantine: a good end elsewhere clears nothing', 'quarantine',
