--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -556,7 +556,7 @@
     world = context.world = lives_world.World()
     world.settings['halls'] = ['north']
     context.services = {'s'}
-    world.registry.names_service = lambda name: name in context.services
+    world.registry.service_exists = lambda name: name in context.services
 
 
 @when('a runner that is held at X is followed by one with {what} at X')
--- a/mountridge/control/registry.py
+++ b/mountridge/control/registry.py
@@ -48,7 +48,7 @@
         self.machine = machine
         self.replica = replica
         #: Whether routes name a service; set by the entry, which reads them.
-        self.names_service: typing.Callable[[str], bool] = lambda _: True
+        self.service_exists: typing.Callable[[str], bool] = lambda _: True
         interval_s = app.settings['bounds']['heartbeat_ms'] / 1000
         self._silent_s = SILENT_INTERVALS * interval_s
         self._heard_s: dict[str, float] = {}
@@ -132,7 +132,7 @@
             self._count_refusal(given, known, 'future')
             raise errors.BadHeartbeat('a start in the future', 'future')
         is_held = known is not None and known.service == given.service
-        if not is_held and not self.names_service(given.service):
+        if not is_held and not self.service_exists(given.service):
             self._count_refusal(given, known, 'service')
             raise errors.UnknownService(f'{given.service!a}'[:80])
 
--- a/mountridge/entrycontroller.py
+++ b/mountridge/entrycontroller.py
@@ -64,11 +64,11 @@
 
     made.sheet = sheet
 
-    def names_service(service: str) -> bool:
+    def service_exists(service: str) -> bool:
         """Return whether routes name a service, or there are none yet."""
         return entry.index is None or service in entry.index.services
 
-    made.registry.names_service = names_service
+    made.registry.service_exists = service_exists
     app.tasks.append(
         remoteranks.RemoteRanks(app, made.groups, entry.engine).run
     )
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -923,13 +923,13 @@
     ),
     Mutant(
         'lives: any service is registered', 'registry',
-        'if not is_held and not self.names_service(given.service):',
+        'if not is_held and not self.service_exists(given.service):',
         'if False:', 'lives',
     ),
     Mutant(
         'lives: who is named no more can not drain', 'registry',
-        'if not is_held and not self.names_service(given.service):',
-        'if not self.names_service(given.service):', 'lives',
+        'if not is_held and not self.service_exists(given.service):',
+        'if not self.service_exists(given.service):', 'lives',
     ),
     Mutant(
         'lives: any hall is registered', 'registry',
