--- a/mountridge/control/__init__.py
+++ b/mountridge/control/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The leader's offices: runners that register, and controllers."""
+"""Components of a leading controller: cluster, runners and halls."""
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -807,8 +807,8 @@
     ),
     Mutant(
         'lives: the log forgets counts', 'registry',
-        'given = heartbeat.instance._replace(seq=heartbeat.seq)',
-        'given = heartbeat.instance', 'lives',
+        'reported = heartbeat.instance._replace(seq=heartbeat.seq)',
+        'reported = heartbeat.instance', 'lives',
     ),
     Mutant(
         'lives: one life moves', 'lives',
@@ -918,22 +918,22 @@
     ),
     Mutant(
         'lives: a start in the future', 'registry',
-        'if given.born_ms > (self.app.wall_s() + FUTURE_S) * 1000:',
+        'if reported.born_ms > (self.app.wall_s() + MAX_CLOCK_SKEW_S) * 1000:',
         'if False:', 'lives',
     ),
     Mutant(
         'lives: any service is registered', 'registry',
-        'if not is_held and not self.service_exists(given.service):',
+        'if not is_registered and not self.service_exists(reported.service):',
         'if False:', 'lives',
     ),
     Mutant(
         'lives: who is named no more can not drain', 'registry',
-        'if not is_held and not self.service_exists(given.service):',
-        'if not self.service_exists(given.service):', 'lives',
+        'if not is_registered and not self.service_exists(reported.service):',
+        'if not self.service_exists(reported.service):', 'lives',
     ),
     Mutant(
         'lives: any hall is registered', 'registry',
-        'if halls and given.hall not in halls:',
+        'if halls and reported.hall not in halls:',
         'if False:', 'lives',
     ),
     Mutant(
@@ -1118,7 +1118,9 @@
     ),
     Mutant(
         'lives: late counts that change nothing are heard', 'registry',
-        'if heartbeat.seq < max(known.seq, self._newest_seq.get(life, 0)):',
+        '''if heartbeat.seq < max(
+            registered.seq, self._newest_seq.get(incarnation, 0)
+        ):''',
         'if False:', 'lives',
     ),
     Mutant(
