--- a/mountridge/control/registry.py
+++ b/mountridge/control/registry.py
@@ -253,7 +253,7 @@
     async def _propose(
         self, instance: instances.Instance
     ) -> messages.Registered:
-        logger.info('registering runner', **instance._asdict())
+        logger.info('updating runner registration', **instance._asdict())
         command = commands.SetInstance(instance, self.app.wall_s())
         return await self.replica.propose(commands.encode(command))
 
