--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on the loss of controllers, boxes and halls."""
+"""Steps for losses of controllers, boxes and halls."""
 
 import random
 import types
@@ -30,7 +30,7 @@
     trio.run(script, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-# The way to the leader.
+# Calls to the leader.
 
 
 class Controllers:
@@ -47,10 +47,10 @@
         }
         self.leads = self.addresses[-1]
         self.answer_s = 0.0
-        self.leads_from_s = 0.0  # until then all know of no leader
-        self.names = {}  # whom one that does not lead names
+        self.leads_from_s = 0.0  # until then no controller knows the leader
+        self.named = {}  # address -> leader that this controller names
         self.open = set()
-        self.sent = []  # addresses that the call was sent to
+        self.sent = []  # addresses to which calls were sent
 
     def now_s(self):
         return trio.current_time()
@@ -73,28 +73,28 @@
             self.start_task(run)
             waits = [(late[0], late[1])] if late else []
             waits.append((timeout_s - sum(w[0] for w in waits), None))
-            for wait_s, tell in waits:
+            for wait_s, on_timeout in waits:
                 with trio.move_on_after(wait_s):
                     reply = await receiver.receive()
                     if isinstance(reply, errors.NotLeader):
                         raise reply
                     return reply
-                if tell:
-                    tell()
+                if on_timeout:
+                    on_timeout()
             raise errors.NoController('no reply in time')
 
         async def answer(message):
-            asks = isinstance(message, messages.WhoLeads)
-            if not asks:
+            is_query = isinstance(message, messages.WhoLeads)
+            if not is_query:
                 self.sent.append(address)
             if trio.current_time() < self.leads_from_s:
                 raise errors.NotLeader()
             if address == self.leads:
-                await trio.sleep(0 if asks else self.answer_s)
+                await trio.sleep(0 if is_query else self.answer_s)
                 return messages.Registered()
-            if address in self.names:
+            if address in self.named:
                 problem = errors.NotLeader()
-                problem.leader = problem.leader_address = self.names[address]
+                problem.leader = problem.leader_address = self.named[address]
                 raise problem
             await trio.sleep_forever()
 
@@ -110,29 +110,29 @@
         app.answer_s = float(what.split()[2])
     elif what.endswith('name each other'):
         first, second, _ = app.addresses
-        app.names = {first: second, second: first}
+        app.named = {first: second, second: first}
     elif ' until ' in what:
         app.leads_from_s = float(what.split()[-2])
-    context.knows = False
+    context.knows_leader = False
 
 
-@given('a process that knows that')
-def knows(context):
-    context.knows = True
+@given('a process that knows the leader')
+def knows_leader(context):
+    context.knows_leader = True
 
 
-def with_leader(context, script):
+def run_calls(context, script):
     async def main():
         async with trio.open_nursery() as nursery:
             context.app.nursery = nursery
             leader = members.Leader(context.app)
-            if context.knows:
+            if context.knows_leader:
                 leader.follow(context.app.leads)
-            began_s = trio.current_time()
+            started_s = trio.current_time()
 
             async def call(limit_s=5.0):
                 await leader.call(messages.Leave('i'), limit_s)
-                context.took_s.append(trio.current_time() - began_s)
+                context.took_s.append(trio.current_time() - started_s)
 
             await script(call, nursery)
             nursery.cancel_scope.cancel()
@@ -147,10 +147,10 @@
         await call()
         await trio.sleep(0.1)
 
-    with_leader(context, script)
+    run_calls(context, script)
 
 
-@when('calls begin {gap_s:g} s apart for {for_s:g} s')
+@when('calls start {gap_s:g} s apart for {for_s:g} s')
 def many_calls(context, gap_s, for_s):
     async def script(call, nursery):
         context.count = round(for_s / gap_s)
@@ -159,11 +159,11 @@
             await trio.sleep(gap_s)
         await trio.sleep(0.05)
 
-    with_leader(context, script)
+    run_calls(context, script)
 
 
-@when('a call is given up after {limit_s:g} s, while another one waits')
-def given_up(context, limit_s):
+@when('a call times out after {limit_s:g} s, while another one waits')
+def call_times_out(context, limit_s):
     async def script(call, nursery):
         async def first():
             try:
@@ -175,7 +175,7 @@
         await trio.sleep(0.1)
         await call()
 
-    with_leader(context, script)
+    run_calls(context, script)
 
 
 @then('it is answered after {after_s:g} s and was sent once')
@@ -184,7 +184,7 @@
     assert context.app.sent.count(context.app.leads) == 1, context.app.sent
 
 
-@then('all are answered {after_s:g} s after the first one began')
+@then('all are answered {after_s:g} s after the first one started')
 def all_answered(context, after_s):
     assert len(context.took_s) == context.count, context.took_s
     assert max(context.took_s) < after_s + 0.01, context.took_s
@@ -201,13 +201,13 @@
     assert context.took_s and context.took_s[-1] < limit_s, context.took_s
 
 
-@then('those that do not lead were sent it {count:d} times')
+@then('the controllers that do not lead received it {count:d} times')
 def sent_elsewhere(context, count):
     sent = [a for a in context.app.sent if a != context.app.leads]
     assert len(sent) == count, sent
 
 
-# Who leads.
+# Elections.
 
 
 @given('5 voters in 3 halls')
@@ -231,22 +231,22 @@
     return world.leader()
 
 
-@when('a box asks a follower who leads, and the leader is killed')
-def ask_follower(context):
+@when('a box asks a follower for the leader, and the leader is killed')
+def query_follower(context):
     async def script(world):
         lost = world.leader()
-        asked = next(n for n in world.voters() if n != lost)
+        follower = next(n for n in world.voters() if n != lost)
         app = world.processes['west3']
-        caller = app.connect(world.address_of(asked), asked)
-        question = messages.WhoLeads(world.address_of(lost))
+        caller = app.connect(world.address_of(follower), follower)
+        query = messages.WhoLeads(world.address_of(lost))
         world.kill(lost)
         context.named = ''
-        context.asked = 0
+        context.queries = 0
         while not context.named:
-            context.asked += 1
+            context.queries += 1
             try:
-                await caller.call(question, 1.0)
-                context.named = world.address_of(asked)
+                await caller.call(query, 1.0)
+                context.named = world.address_of(follower)
             except errors.NotLeader as problem:
                 context.named = problem.leader_address
         leader = await next_leader(world, lost)
@@ -255,14 +255,14 @@
     play(context, script)
 
 
-@then('it is answered by the name of the next leader')
+@then('the reply names the next leader')
 def check_named(context):
     assert context.named == context.expected, context.named
 
 
-@then('it has asked at most {most:d} times')
-def check_asked(context, most):
-    assert context.asked <= most, context.asked
+@then('the box asked at most {most:d} times')
+def check_queries(context, most):
+    assert context.queries <= most, context.queries
 
 
 @when('the leader is killed')
@@ -271,7 +271,7 @@
         lost = world.leader()
         world.kill(lost)
         leader = await next_leader(world, lost)
-        # Two ways between halls, and no time-out of a call.
+        # Time for two messages between halls, but not for a call's timeout.
         await trio.sleep(0.01)
         context.expected = world.address_of(leader)
         context.current = {
@@ -282,109 +282,117 @@
     play(context, script)
 
 
-@then('boxes with a controller ask the next leader before any call fails')
+@then('boxes with a controller call the next leader before any call fails')
 def check_current(context):
     assert len(context.current) == 5, context.current
     assert set(context.current.values()) == {context.expected}
 
 
-@given('{count:d} controllers that follow a leader')
+@given('{count:d} controllers with a leader')
 def controllers(context, count):
     context.names = [f'c{n + 1}' for n in range(count)]
 
 
-def play_core(context, seed, strike):
-    """Return (seconds until another one leads, its name, the rest)."""
+def run_election(context, seed, fail):
+    """Return (seconds until the next leader, its name, the others)."""
     world = consensus_world.World(context.names, seed)
     lost = world.wait_leader()
     world.run(1 + world.rng.random())
     if world.leader() != lost:
         lost = world.leader()
-    rest = [n for n in context.names if n != lost]
-    rest = strike(world, lost, rest)
-    began_s = world.now_s
-    found = world.run_until(lambda: world.leader() in rest, 5.0)
+    followers = [n for n in context.names if n != lost]
+    followers = fail(world, lost, followers)
+    started_s = world.now_s
+    is_elected = world.run_until(lambda: world.leader() in followers, 5.0)
     world.check()
-    assert found, 'no leader'
-    return world.now_s - began_s, world.leader(), rest
+    assert is_elected, 'no leader'
+    return world.now_s - started_s, world.leader(), followers
 
 
-@when('it and the first {more:d} that follow it are lost')
-def lose_first(context, more):
-    def strike(world, lost, rest):
-        for name in [lost, *rest[:more]]:
+@when('the leader and the first {more:d} followers are lost')
+def lose_leader(context, more):
+    def fail(world, lost, followers):
+        for name in [lost, *followers[:more]]:
             world.kill(name)
-        return rest[more:]
+        return followers[more:]
 
-    context.plays = [play_core(context, seed, strike) for seed in range(30)]
+    context.elections = [
+        run_election(context, seed, fail) for seed in range(30)
+    ]
 
 
 @when(
-    'the first follower hears nothing from {ahead_s:g} s'
+    'the first follower receives nothing from {ahead_s:g} s'
     ' before the leader is lost'
 )
-def deaf_first(context, ahead_s):
-    def strike(world, lost, rest):
-        world.cut.add((lost, rest[0]))
+def cut_off_first(context, ahead_s):
+    def fail(world, lost, followers):
+        world.cut.add((lost, followers[0]))
         world.run(ahead_s)
         world.kill(lost)
-        return rest
+        return followers
 
-    context.plays = [play_core(context, seed, strike) for seed in range(30)]
+    context.elections = [
+        run_election(context, seed, fail) for seed in range(30)
+    ]
 
 
 @when(
-    'the first follower alone has an entry,'
-    ' and misses the leader {ahead_s:g} s earlier'
+    'only the first follower has an entry,'
+    ' and loses the leader {ahead_s:g} s earlier'
 )
 def only_first(context, ahead_s):
-    def strike(world, lost, rest):
+    def fail(world, lost, followers):
         send = world.send
 
         def lossy(name, effect):
-            is_behind = effect.to == rest[1]
+            is_behind = effect.to == followers[1]
             if not (is_behind and getattr(effect.message, 'entries', None)):
                 send(name, effect)
 
         world.send = lossy
         assert world.propose(lost, b'last')
         world.run(0.05)
-        world.cut.add((lost, rest[0]))
+        world.cut.add((lost, followers[0]))
         world.run(ahead_s)
         world.kill(lost)
         world.send = send
-        return rest
+        return followers
 
-    context.plays = [play_core(context, seed, strike) for seed in range(30)]
+    context.elections = [
+        run_election(context, seed, fail) for seed in range(30)
+    ]
 
 
-@when('two of the rest stand at the same moment after it is lost')
-def stand_together(context):
-    def strike(world, lost, rest):
+@when('two followers start an election at the same moment after it is lost')
+def start_elections(context):
+    def fail(world, lost, followers):
         world.kill(lost)
         world.run(0.5)
-        for name in rest:
+        for name in followers:
             world.nodes[name].election_at_s = world.now_s + 0.3
-        for name in rest[:2]:
+        for name in followers[:2]:
             world.nodes[name].election_at_s = 0.0
             world.step(name, consensus.Tick())
-        return rest
+        return followers
 
-    context.plays = [play_core(context, seed, strike) for seed in range(30)]
+    context.elections = [
+        run_election(context, seed, fail) for seed in range(30)
+    ]
 
 
-@then('there is a leader within {limit_s:g} s, in 30 of 30 plays')
-def soon(context, limit_s):
-    assert max(took_s for took_s, _, _ in context.plays) < limit_s, max(
-        context.plays
+@then('a leader is elected within {limit_s:g} s, in 30 of 30 runs')
+def check_elected(context, limit_s):
+    assert max(took_s for took_s, _, _ in context.elections) < limit_s, max(
+        context.elections
     )
 
 
-# How voters stand in halls.
+# Voter placement.
 
 
-def leader_node(config, answering, behind=()):
-    """Return a leader's state in which only ``answering`` were heard."""
+def leader_node(config, responsive, behind=()):
+    """Return a leader's state in which only ``responsive`` have replied."""
     log = entries.Log(1, 1, config)
     timing = consensus.Timing(0.1, 0.5)
     rng = random.Random(1)
@@ -392,19 +400,19 @@
     node = consensus.make_node(leader, 1, '', log, timing, rng, 0.0)
     replication.begin_to_lead(node, 0.0)
     for key, peer in node.peers.items():
-        if key in answering:
+        if key in responsive:
             peer.acked_sent_s = 100.0
             peer.match = -1000 if key in behind else node.log.last_index
     return node
 
 
-def next_set(config, answering, most, halls, behind=()):
-    node = leader_node(config, answering, behind)
-    return formation.next_config(node, most, halls, 100.0)
+def next_set(config, responsive, max_voters, halls, behind=()):
+    node = leader_node(config, responsive, behind)
+    return formation.next_config(node, max_voters, halls, 100.0)
 
 
-def in_halls(text):
-    """Return {name: hall} of a text as 'north 3, south 1'."""
+def parse_halls(text):
+    """Return {name: hall} for a text such as 'north 3, south 1'."""
     parts = [part.split() for part in text.split(', ')]
     return {
         f'{hall}{n + 1}': hall
@@ -414,8 +422,8 @@
 
 
 def make_config(voters, learners=''):
-    voters = in_halls(voters)
-    others = in_halls(learners) if learners else {}
+    voters = parse_halls(voters)
+    others = parse_halls(learners) if learners else {}
     others = {f'{name}-new': hall for name, hall in others.items()}
     return entries.Config(
         dict.fromkeys(voters, 'a'), dict.fromkeys(others, 'a'),
@@ -423,15 +431,15 @@
     )  # fmt: skip
 
 
-def settle(config, answering, most, halls):
-    """Return all sets up to the one that stays."""
+def settle(config, responsive, max_voters, halls):
+    """Return the sets of controllers up to the stable one."""
     sets = [config]
     while len(sets) < 50:
-        after = next_set(sets[-1], answering, most, halls)
+        after = next_set(sets[-1], responsive, max_voters, halls)
         if after is None:
             return sets
         sets.append(after)
-    raise AssertionError('it never ends')
+    raise AssertionError('no stable set of controllers')
 
 
 @given('voters in {voters}, and learners in {learners}')
@@ -440,35 +448,35 @@
     context.controllers = make_config(voters, learners)
 
 
-@when('{silent} are silent and {halls:d} halls may be lost')
-def silent_ones(context, silent, halls, most=None):
+@when('{unresponsive} are unresponsive and {halls:d} halls may be lost')
+def lose_voters(context, unresponsive, halls, max_voters=None):
     config = context.controllers
-    answering = set(config.voters) | set(config.learners)
-    if silent != 'none':
-        answering -= set(silent.split(' and '))
-    most = most or max(3, len(config.voters) | 1)
-    context.sets = settle(config, answering, most, halls)
-    context.answering = answering
+    responsive = set(config.voters) | set(config.learners)
+    if unresponsive != 'none':
+        responsive -= set(unresponsive.split(' and '))
+    max_voters = max_voters or max(3, len(config.voters) | 1)
+    context.sets = settle(config, responsive, max_voters, halls)
+    context.responsive = responsive
 
 
 @when(
-    '{silent} are silent and {halls:d} halls may be lost,'
-    ' with {most:d} voters wanted'
+    '{unresponsive} are unresponsive and {halls:d} halls may be lost,'
+    ' with {max_voters:d} voters wanted'
 )
-def silent_of(context, silent, halls, most):
-    silent_ones(context, silent, halls, most)
+def lose_voters_of(context, unresponsive, halls, max_voters):
+    lose_voters(context, unresponsive, halls, max_voters)
 
 
-@then('the silent ones are no voters')
-def check_gone(context):
-    assert context.answering.issuperset(context.sets[-1].voters)
+@then('the unresponsive ones are no voters')
+def check_unresponsive(context):
+    assert context.responsive.issuperset(context.sets[-1].voters)
 
 
-@then('the voters come to stand in {expected} by {changes:d} changes')
-def check_stand(context, expected, changes):
+@then('the voters are placed in {expected} by {changes:d} changes')
+def check_placement(context, expected, changes):
     assert len(context.sets) == changes + 1, context.sets
     counts = {}
-    for hall in in_halls(expected).values():
+    for hall in parse_halls(expected).values():
         counts[hall] = counts.get(hall, 0) + 1
     assert (
         voterplacement.voters_per_hall(context.sets[-1]) == counts
@@ -497,14 +505,14 @@
         )
         for _ in range(20):
             leader = next(iter(config.voters))
-            answering = {
+            responsive = {
                 key for key in config.addresses() if rng.random() < 0.7
             } | {leader}
             before = voterplacement.excess(config, 1)
-            config = settle(config, answering, 5, 1)[-1]
+            config = settle(config, responsive, 5, 1)[-1]
             if len(config.voters) == 5:
                 context.ends.append((before, voterplacement.excess(config, 1)))
-            # A box that was taken out asks again; a lost disk is another id.
+            # Removed boxes join again; a box with a lost disk has a new id.
             for hall in ('north', 'south', 'west'):
                 key = f'{hall}{rng.random()}'
                 held = [k for k, h in config.halls.items() if h == hall]
@@ -512,63 +520,64 @@
                     config = config.join(key, 'a', hall)
 
 
-@then('no change lets one hall hold a majority that it did not hold')
-def check_ends(context):
+@then('no change gives one hall a majority that it did not have')
+def check_majorities(context):
     assert len(context.ends) > 100
     assert all(after <= before for before, after in context.ends)
 
 
-@given('a learner in {hall} that answers, but has not caught up yet')
-def coming(context, hall):
-    key = f'{hall}-coming'
+@given('a learner in {hall} that responds, but has not caught up yet')
+def catching_up(context, hall):
+    key = f'{hall}-behind'
     context.behind = key
     context.controllers = context.controllers.join(key, 'a', hall)
 
 
-@then('the next voter is awaited, and then taken from {hall}')
-def check_awaited(context, hall):
+@then('no voter is added until it has caught up, and then one from {hall}')
+def check_waits(context, hall):
     config = context.controllers
-    answering = set(config.addresses())
-    assert next_set(config, answering, 5, 1, (context.behind,)) is None
-    after = next_set(config, answering, 5, 1)
-    fresh = set(after.voters) - set(config.voters)
-    assert {after.halls[key] for key in fresh} == {hall}, fresh
+    responsive = set(config.addresses())
+    assert next_set(config, responsive, 5, 1, (context.behind,)) is None
+    after = next_set(config, responsive, 5, 1)
+    added = set(after.voters) - set(config.voters)
+    assert {after.halls[key] for key in added} == {hall}, added
 
 
-@when('boxes are replaced where no halls are to be borne')
-def as_before(context):
+@when('boxes are replaced without tolerated hall losses')
+def replace_anywhere(context):
     config = make_config('north 3', 'south 1, north 2')
-    answering = set(config.addresses()) - {'north2'}
-    context.sets = settle(config, answering, 3, 0)
+    responsive = set(config.addresses()) - {'north2'}
+    context.sets = settle(config, responsive, 3, 0)
 
 
-@then('the first learner takes the place that was made for it')
-def check_as_before(context):
+@then('the unresponsive voter is removed and then the first learner promoted')
+def check_replaced_anywhere(context):
     counts = [len(one.voters) for one in context.sets]
     assert counts == [3, 2, 3], counts
     assert 'north1-new' in context.sets[-1].voters
 
 
-# Losses while orders go on.
+# Losses while writes continue.
 
-#: When what is lost comes back, and how long the play goes on after that.
-BACK_S, AFTER_S = 6.0, 6.0
+#: When the lost boxes return, and the duration of the run after that.
+RETURN_S, AFTER_S = 6.0, 6.0
 
 
-class Play:
-    """What a play with a loss has shown."""
+class Observations:
+    """Writes and the state of the boxes in a run with a loss."""
 
     def __init__(self, world):
         self.world = world
         self.version = self.acked = 0
-        self.ack_s = []  # how long each order took
-        self.unleased = set()  # boxes in touch that held no lease
-        self.named_s = {}  # lost box -> when it was last named, after the loss
+        self.ack_s = []  # duration of each write
+        self.unleased = set()  # reachable boxes that held no lease
+        #: Of each lost box, when it was last listed, counted from the loss.
+        self.listed_s = {}
         self.lost = []
         self.read = {}
 
-    async def order_for(self, seconds):
-        """Order at boxes that are reached, one after the other."""
+    async def write_for(self, seconds):
+        """Write at the reachable boxes, one after the other."""
         until_s = trio.current_time() + seconds
         world = self.world
         while trio.current_time() < until_s:
@@ -581,7 +590,7 @@
             await trio.sleep(0.2)
 
     async def watch(self, lost_s):
-        """Note leases that lapse, and who names boxes that are lost."""
+        """Record lapsed leases, and when lost boxes are still listed."""
         world = self.world
         while True:
             now_s = trio.current_time()
@@ -591,9 +600,9 @@
                 made = world.entries[name]
                 if not made.held.valid(now_s):
                     self.unleased.add(name)
-                named = {a.partition(':')[0] for a in made.addresses()}
-                for other in named.difference(world.processes):
-                    self.named_s[other] = now_s - lost_s
+                listed = {a.partition(':')[0] for a in made.addresses()}
+                for other in listed.difference(world.processes):
+                    self.listed_s[other] = now_s - lost_s
             await trio.sleep(0.02)
 
     async def read_all(self):
@@ -602,84 +611,89 @@
             self.read[name] = reply.version
 
 
-def victims(world, which):
-    """Return the boxes that a loss hits."""
+def lost_boxes(world, which):
+    """Return the boxes that are lost."""
     leader = world.leader()
     others = [name for name in world.voters() if name != leader]
     halls = sorted({hall for hall, _ in world.halls.values()})
-    own = world.halls[leader][0]
+    leader_hall = world.halls[leader][0]
     if which == 'the hall with the leader':
-        return world.in_hall(own)
+        return world.in_hall(leader_hall)
     if which == 'a hall without the leader':
-        return world.in_hall(next(hall for hall in halls if hall != own))
+        return world.in_hall(
+            next(hall for hall in halls if hall != leader_hall)
+        )
     if which == 'the leader and another':
-        return [leader, next(n for n in others if world.halls[n][0] != own)]
-    assert which == 'two that follow', which
+        return [
+            leader,
+            next(n for n in others if world.halls[n][0] != leader_hall),
+        ]
+    assert which == 'two followers', which
     return others[:2]
 
 
-@when('{which} is {fault}, while orders go on')
-@when('{which} are {fault}, while orders go on')
+@when('{which} is {fault}, while writes continue')
+@when('{which} are {fault}, while writes continue')
 def lose_some(context, which, fault):
     async def script(world):
-        shown = Play(world)
-        await shown.order_for(1)
-        lost = shown.lost = victims(world, which)
+        observed = Observations(world)
+        await observed.write_for(1)
+        lost = observed.lost = lost_boxes(world, which)
         hall = world.halls[lost[0]][0]
         if fault == 'cut off':
             world.cut_halls.add(hall)
         else:
             for name in lost:
-                world.kill(name, wipe='empty' in fault)
-        world.nursery.start_soon(shown.watch, trio.current_time())
-        await shown.order_for(1 if 'empty' in fault else BACK_S)
+                world.kill(name, wipe='wiped' in fault)
+        world.nursery.start_soon(observed.watch, trio.current_time())
+        await observed.write_for(1 if 'wiped' in fault else RETURN_S)
         world.cut_halls.clear()
         for name in lost:
             if name not in world.processes:
                 world.start(name)
-        await shown.order_for(AFTER_S)
+        await observed.write_for(AFTER_S)
         await world.until(world.is_whole)
-        await shown.read_all()
-        shown.config = world.config()
-        return shown
+        await observed.read_all()
+        observed.config = world.config()
+        return observed
 
-    context.play = play(context, script)
+    context.observed = play(context, script)
 
 
-@then('each order is acknowledged within {limit_s:g} s')
-def check_orders(context, limit_s):
-    took = context.play.ack_s
+@then('each write is acknowledged within {limit_s:g} s')
+def check_writes(context, limit_s):
+    took = context.observed.ack_s
     assert len(took) > 20 and max(took) < limit_s, max(took)
 
 
-@then('no box that is reached loses its lease')
+@then('no reachable box loses its lease')
 def check_leases(context):
-    assert not context.play.unleased, context.play.unleased
+    assert not context.observed.unleased, context.observed.unleased
 
 
-@then('what was acknowledged is read at each box')
+@then('each box reads what was acknowledged')
 def check_read(context):
-    assert len(context.play.read) == len(HALLS)
-    assert min(context.play.read.values()) >= context.play.acked
+    assert len(context.observed.read) == len(HALLS)
+    assert min(context.observed.read.values()) >= context.observed.acked
 
 
-@then('{count:d} voters stand so that any hall can go')
-def check_spread(context, count):
-    config = context.play.config
+@then('{count:d} voters are placed so that any hall can be lost')
+def check_voters(context, count):
+    config = context.observed.config
     assert len(config.voters) == count, config
     assert not voterplacement.excess(
         config, 1
     ), voterplacement.voters_per_hall(config)
 
 
-@then('no box that is reached names a lost one {limit_s:g} s after the loss')
-def check_names(context, limit_s):
-    late = context.play.named_s
-    assert all(named_s < limit_s for named_s in late.values()), late
+@then('no reachable box lists a lost one {limit_s:g} s after the loss')
+def check_listed(context, limit_s):
+    found = context.observed.listed_s
+    assert all(listed_s < limit_s for listed_s in found.values()), found
 
 
-@when('the hall with the first seed is lost, and a box elsewhere starts again')
-def start_elsewhere(context):
+@when('the hall with the first seed is lost, and a box elsewhere restarts')
+def restart_elsewhere(context):
     async def script(world):
         for name in world.in_hall('north'):
             world.kill(name)
@@ -700,86 +714,88 @@
 
 @when('the hall with the leader, of {count:d} boxes, is lost')
 def lose_large(context, count):
-    more = {f'north{n}': ('north', False) for n in range(4, count + 1)}
+    added = {f'north{n}': ('north', False) for n in range(4, count + 1)}
 
     async def script(world):
         world.sync_s = 0.03
-        shown = Play(world)
+        observed = Observations(world)
         assert world.halls[world.leader()][0] == 'north'
-        shown.lost = world.in_hall('north')
-        assert len(shown.lost) == count
-        for name in shown.lost:
+        observed.lost = world.in_hall('north')
+        assert len(observed.lost) == count
+        for name in observed.lost:
             world.kill(name)
-        world.nursery.start_soon(shown.watch, trio.current_time())
+        world.nursery.start_soon(observed.watch, trio.current_time())
         await trio.sleep(6)
-        return shown
+        return observed
 
-    context.play = play(context, script, {**HALLS, **more})
+    context.observed = play(context, script, {**HALLS, **added})
 
 
-@when('a hall is cut off, and {count:d} orders to ranks are given elsewhere')
-def give_orders(context, count):
+@when('a hall is cut off, and {count:d} orders to ranks are sent by others')
+def send_rank_orders(context, count):
     async def script(world):
         leader = world.leader()
         hall = next(h for h, _ in HALLS.values() if h != HALLS[leader][0])
         world.cut_halls.add(hall)
         await trio.sleep(1.5)
-        office = world.controllers[leader]
-        context.given = []
-        office.app.send = lambda route, order: context.given.append(
+        controller = world.controllers[leader]
+        context.senders = []
+        controller.app.send = lambda route, order: context.senders.append(
             route.decode().partition('.')[0]
         )
         for number in range(count):
             order = ranks.RankOrder(ranks.HOLD, 1, 2, 3, [])
             order = order._replace(version=number)
-            office.give_elsewhere(messages.RemoteOrder('r', order))
+            controller.give_elsewhere(messages.RemoteOrder('r', order))
         context.cut = world.in_hall(hall)
-        # The leases of those still run.
-        assert set(context.cut) <= set(office.leases.holders)
+        # The leases of these boxes are still valid.
+        assert set(context.cut) <= set(controller.leases.holders)
 
     play(context, script)
 
 
-@then('none goes to a box in it, and each other box without a disk gets some')
-def check_given(context):
-    plain = {name for name, (_, has_disk) in HALLS.items() if not has_disk}
-    assert set(context.given) == plain.difference(context.cut), context.given
+@then('no box in it sends one, and each other box without a disk sends some')
+def check_senders(context):
+    diskless = {name for name, (_, has_disk) in HALLS.items() if not has_disk}
+    assert set(context.senders) == diskless.difference(
+        context.cut
+    ), context.senders
 
 
 @given('{count:d} boxes with a disk in north, one in south and one in west')
-def uneven(context, count):
+def uneven_halls(context, count):
     context.halls = {f'north{n + 1}': ('north', True) for n in range(count)}
     context.halls |= {'south2': ('south', True), 'west3': ('west', True)}
     context.bounds = {'controller_losses': 2, 'hall_losses': 1}
 
 
-@when('they form, and another one in south starts later')
+@when('they form a cluster, and another one in south starts later')
 def form_uneven(context):
     lines = []
     halls = {**context.halls, 'south4': ('south', True)}
 
-    def tell(text, **fields):
+    def log(text, **fields):
         if text == 'voters by hall':
             lines.append(fields)
 
-    def counts(world):
+    def gauges(world):
         app = world.processes[world.leader()]
         names = ['voters.north', 'voters.south', 'hall_loss_stops']
         return [app.metrics.counts[f'controllers.{name}'] for name in names]
 
     async def script(world):
         await trio.sleep(3)
-        context.before = counts(world)
+        context.before = gauges(world)
         context.lines_before = list(lines)
         world.start('south4')
         await world.until(lambda: len(world.config().halls) == 6)
         await world.until(world.is_whole)
         await trio.sleep(3)
-        context.after = counts(world)
+        context.after = gauges(world)
 
     real = formation.logger
     formation.logger = types.SimpleNamespace(
-        info=tell, warning=tell, debug=lambda *_, **__: None
+        info=log, warning=log, debug=lambda *_, **__: None
     )
     try:
         bounds = context.bounds
@@ -800,39 +816,37 @@
     core.play(main, context.scenario.name, halls, SEEDS, **context.bounds)
 
 
-@then('a gauge and one line say that the loss of north stops the log')
-def check_told(context):
+@then('a gauge and one log line report that the loss of north stops the log')
+def check_reported(context):
     assert context.before == [3, 1, 1], context.before
     last = context.lines_before[-1]
     assert last['hall_loss_stops'] and last['halls']['north'] == 3, last
     assert context.lines_before.count(last) == 1, context.lines_before
 
 
-@then('later that it does not, with voters in north 2 and in south 2')
-def check_told_later(context):
+@then('later that it does not, with 2 voters in north and 2 in south')
+def check_reported_later(context):
     assert context.after == [2, 2, 0], context.after
     assert not context.lines[-1]['hall_loss_stops'], context.lines[-1]
 
 
-# Old records.
+# Records stored without halls.
 
 
-@then(
-    'a set of controllers that tells no halls is read, and written as it was'
-)
-def check_old(context):
+@then('a set of controllers without halls is read, and written unchanged')
+def check_stored(context):
     import msgspec
 
-    old = msgspec.msgpack.encode(({'a': 'x'}, {'b': 'y'}))
-    config = entries.unpack_config(old)
+    stored = msgspec.msgpack.encode(({'a': 'x'}, {'b': 'y'}))
+    config = entries.unpack_config(stored)
     assert config == entries.Config({'a': 'x'}, {'b': 'y'}, {})
-    assert config.pack() == old
-    told = config.join('a', 'x', 'north')
-    assert entries.unpack_config(told.pack()).halls == {'a': 'north'}
+    assert config.pack() == stored
+    joined = config.join('a', 'x', 'north')
+    assert entries.unpack_config(joined.pack()).halls == {'a': 'north'}
 
 
-@when('a leader has read a log that tells no halls')
-def old_log(context):
+@when('a leader has read a log without halls')
+def read_old_log(context):
     async def script(world):
         for name, disk in world.disks.items():
             world.kill(name)
@@ -862,6 +876,6 @@
     context.halls = play(context, script)
 
 
-@then('it knows the halls of all soon, and voters stand in 3 of them')
+@then('it soon knows the halls of all, and voters are placed in 3 of them')
 def check_known(context):
     assert sorted(context.halls) == ['north', 'south', 'west'], context.halls
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -999,33 +999,33 @@
     Mutant(
         'losses: a late call looks for nobody', 'members',
         'self._app.start_task(self._search, asked)', 'pass', 'losses',
-        'asked at once',
+        'for the leader at once',
     ),
     Mutant(
         'losses: calls wait on at a lost leader', 'members',
         '            if asked != address:\n', '            if False:\n',
-        'losses', 'Calls that wait',
+        'losses', 'Calls waiting',
     ),
     Mutant(
         'losses: a search leaves its connections open', 'members',
         'used = {self._current, *self._asking.values()}',
-        'used = set(self._callers)', 'losses', 'opened is closed',
+        'used = set(self._callers)', 'losses', 'opened by a search',
     ),
     Mutant(
         'losses: names are followed again and again', 'members',
         'if named and named not in tried and', 'if named and', 'losses',
-        'out of date',
+        'outdated leader name',
     ),
     Mutant(
         'losses: a lost leader is named to who looks for another',
         'leadership', 'if address and address != question.besides:',
         'if address:',
-        'losses', 'A controller tells',
+        'losses', 'to a leader query',
     ),
     Mutant(
         'losses: an answer is not held', 'leadership',
         'await self.replica.stepped()', 'break', 'losses',
-        'A controller tells',
+        'to a leader query',
     ),
     Mutant(
         'losses: a box does not follow its own replica', 'formation',
@@ -1035,12 +1035,13 @@
         'losses: voters stand at random times', 'replication',
         'wait_s = STAGGER_S * (1 + place + node.rng.random() / 4)',
         'wait_s = node.timing.election_s * node.rng.random()', 'losses',
-        'the next leader is there soon',
+        'a new leader is elected soon',
     ),
     Mutant(
         'losses: a lost pre-vote costs an election time', 'elections',
         'span_s = node.timing.heartbeat_s * 2**node.pre_votes',
-        'span_s = 2 * node.timing.election_s', 'losses', 'asks again soon',
+        'span_s = 2 * node.timing.election_s', 'losses',
+        'requests votes again',
     ),
     Mutant(
         'losses: two pre-votes at once are both granted', 'elections',
@@ -1055,27 +1056,27 @@
     Mutant(
         'losses: a replacement gathers a majority', 'voterplacement',
         'if voter in unresponsive and new_excess > current_excess:',
-        'if False:', 'losses', 'Voters stand',
+        'if False:', 'losses', 'Voters are placed',
     ),
     Mutant(
         'losses: voters change places for nothing', 'voterplacement',
         'if voter not in unresponsive and new_excess >= current_excess:',
-        'if False:', 'losses', 'Voters stand',
+        'if False:', 'losses', 'Voters are placed',
     ),
     Mutant(
         'losses: any learner will do', 'voterplacement',
         'excess(changed, hall_losses),\n        voters_per_hall(changed)',
-        '0,\n        {}', 'losses', 'Voters stand',
+        '0,\n        {}', 'losses', 'Voters are placed',
     ),
     Mutant(
         'losses: whoever is removed', 'voterplacement',
         '            excess(changed, hall_losses),\n            node_id == ',
-        '            node_id == ', 'losses', 'Voters stand',
+        '            node_id == ', 'losses', 'Voters are placed',
     ),
     Mutant(
         'losses: a place is made before it can be filled', 'formation',
         'return config.promote(learner) if is_full else',
-        'return', 'losses', 'Voters stand',
+        'return', 'losses', 'Voters are placed',
     ),
     Mutant(
         'losses: a fourth voter with no fifth', 'formation',
@@ -1084,27 +1085,27 @@
     Mutant(
         'losses: a better learner is not awaited', 'formation',
         'if excess > voterplacement.excess(better, state.hall_losses):',
-        'if False:', 'losses', 'is awaited',
+        'if False:', 'losses', 'in a better hall',
     ),
     Mutant(
         'losses: a leader that no log tells the hall of', 'formation',
         "if node.config.halls.get(node.node_id, '') != hall:", 'if False:',
-        'losses', 'before halls were told',
+        'losses', 'stored without halls',
     ),
     Mutant(
         'losses: sets with no halls are written anew', 'entries',
         'self if self.halls else self[:2]', 'self', 'losses',
-        'before halls were told',
+        'stored without halls',
     ),
     Mutant(
         'losses: the spread is not told', 'formation',
         "self.app.metrics.gauge('controllers.hall_loss_stops', "
-        'int(surplus < 0))', 'pass', 'losses', 'it is said',
+        'int(surplus < 0))', 'pass', 'losses', 'in one hall is reported',
     ),
     Mutant(
         'losses: the spread is told at each look', 'formation',
         '        if placement == self._reported:\n',
-        '        if False:\n', 'losses', 'it is said',
+        '        if False:\n', 'losses', 'in one hall is reported',
     ),
     Mutant(
         'losses: boxes of a lost hall are noted one by one', 'controller',
