--- a/features/losses.feature
+++ b/features/losses.feature
@@ -125,10 +125,10 @@
     When boxes are replaced without tolerated hall losses
     Then the unresponsive voter is removed and then the first learner promoted
 
-  Scenario: A set of controllers stored without halls
+  Scenario: A set of controllers written without halls
     Then a set of controllers without halls is read, and written unchanged
 
-  Scenario: A log stored without halls
+  Scenario: A log written without halls
     Given 5 voters in 3 halls
     When a leader has read a log without halls
     Then it soon knows the halls of all, and voters are placed in 3 of them
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -830,7 +830,7 @@
     assert not context.lines[-1]['hall_loss_stops'], context.lines[-1]
 
 
-# Records stored without halls.
+# Records written without halls.
 
 
 @then('a set of controllers without halls is read, and written unchanged')
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1090,12 +1090,12 @@
     Mutant(
         'losses: a leader that no log tells the hall of', 'formation',
         "if node.config.halls.get(node.node_id, '') != hall:", 'if False:',
-        'losses', 'stored without halls',
+        'losses', 'written without halls',
     ),
     Mutant(
         'losses: sets with no halls are written anew', 'entries',
         'self if self.halls else self[:2]', 'self', 'losses',
-        'stored without halls',
+        'written without halls',
     ),
     Mutant(
         'losses: the spread is not told', 'formation',
