--- a/bench/failovers.py
+++ b/bench/failovers.py
@@ -39,7 +39,7 @@
 
 
 def _leader_silent(world, leader, others):
-    world.silent.add(leader)
+    world.isolated.add(leader)
 
 
 def _follower_killed(world, leader, others):
@@ -47,7 +47,7 @@
 
 
 def _follower_silent(world, leader, others):
-    world.silent.add(others[0])
+    world.isolated.add(others[0])
 
 
 def _two_killed(world, leader, others):
@@ -56,11 +56,11 @@
 
 
 def _two_silent(world, leader, others):
-    world.silent.update((leader, others[0]))
+    world.isolated.update((leader, others[0]))
 
 
 def _hall_lost(world, leader, others):
-    world.silent.update(world.in_hall(world.halls[leader][0]))
+    world.isolated.update(world.in_hall(world.halls[leader][0]))
 
 
 LOSSES = {
@@ -83,9 +83,9 @@
     loss(world, leader, others)
     lost_s = trio.current_time()
     await trio.sleep(rng.random() * ORDER_S)
-    left = [n for n in world.processes if n not in world.silent]
+    left = [n for n in world.processes if n not in world.isolated]
     rng.shuffle(left)
-    await world.order_until_acked(3 * left, 1)
+    await world.write_until_acked(3 * left, 1)
     return trio.current_time() - lost_s
 
 
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -584,7 +584,7 @@
             self.version += 1
             boxes = [n for n in world.processes if world.reached(n)]
             world.rng.shuffle(boxes)
-            took_s = await world.order_until_acked(3 * boxes, self.version)
+            took_s = await world.write_until_acked(3 * boxes, self.version)
             self.ack_s.append(took_s)
             self.acked = self.version
             await trio.sleep(0.2)
--- a/features/worlds/core.py
+++ b/features/worlds/core.py
@@ -107,7 +107,7 @@
             f'tcp://10.0.0.{n + 1}:1': name for n, name in enumerate(halls)
         }
         #: Boxes that nothing reaches, and halls whose links are cut.
-        self.silent = set()
+        self.isolated = set()
         self.cut_halls = set()
         self.last_due_s = {}
         self.clock_step_s = 0.0
@@ -237,7 +237,7 @@
 
     def reached(self, name):
         hall = self.halls[name][0]
-        return name not in self.silent and hall not in self.cut_halls
+        return name not in self.isolated and hall not in self.cut_halls
 
     # Messages.
 
@@ -265,7 +265,7 @@
         return due_s
 
     def _is_cut(self, one, other):
-        if one in self.silent or other in self.silent:
+        if one in self.isolated or other in self.isolated:
             return True
         halls = {self.halls[one][0], self.halls[other][0]}
         return len(halls) > 1 and bool(halls & self.cut_halls)
@@ -292,8 +292,8 @@
     async def order(self, box, version, limit_s):
         """Put a routes document at a box; true where acknowledged."""
         app = self.processes.get(box)
-        if app is None or box in self.silent or app.nursery is None:
-            if box in self.silent:
+        if app is None or box in self.isolated or app.nursery is None:
+            if box in self.isolated:
                 await trio.sleep(limit_s)
             return False
         done = trio.Event()
@@ -311,7 +311,7 @@
             await done.wait()
         return done.is_set()
 
-    async def order_until_acked(self, boxes, version, wait_s=1.0):
+    async def write_until_acked(self, boxes, version, wait_s=1.0):
         """Order at one box after another; return how long it took."""
         began_s = trio.current_time()
         backoff_s = 0.1
