--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -582,7 +582,7 @@
         world = self.world
         while trio.current_time() < until_s:
             self.version += 1
-            boxes = [n for n in world.processes if world.reached(n)]
+            boxes = [n for n in world.processes if world.is_reachable(n)]
             world.rng.shuffle(boxes)
             took_s = await world.write_until_acked(3 * boxes, self.version)
             self.ack_s.append(took_s)
@@ -595,7 +595,7 @@
         while True:
             now_s = trio.current_time()
             for name in world.processes:
-                if name in self.lost or not world.reached(name):
+                if name in self.lost or not world.is_reachable(name):
                     continue
                 made = world.entries[name]
                 if not made.held.valid(now_s):
@@ -652,7 +652,7 @@
             if name not in world.processes:
                 world.start(name)
         await observed.write_for(AFTER_S)
-        await world.until(world.is_whole)
+        await world.until(world.is_complete)
         await observed.read_all()
         observed.config = world.config()
         return observed
@@ -789,7 +789,7 @@
         context.lines_before = list(lines)
         world.start('south4')
         await world.until(lambda: len(world.config().halls) == 6)
-        await world.until(world.is_whole)
+        await world.until(world.is_complete)
         await trio.sleep(3)
         context.after = gauges(world)
 
--- a/features/worlds/core.py
+++ b/features/worlds/core.py
@@ -2,9 +2,9 @@
 
 """Entries in halls, some with a disk and a controller, on virtual time.
 
-The daemons' own code runs, elections and the log included; the world gives
-it channels, disks, and losses of boxes and whole halls. It leaves out
-sockets, runners, and callers' HTTP.
+The daemons' own code runs, including elections and the log. The world
+simulates channels, disks, and losses of boxes and whole halls; it has no
+sockets, no runners and no HTTP.
 """
 
 import collections
@@ -21,15 +21,16 @@
 from mountridge.documents import routes
 from mountridge.net import dialects
 
-#: Of a disk: a sync. Of the network: within a hall, between halls.
+#: Duration of a disk sync.
 SYNC_S = 0.005
-NEAR_S, FAR_S = 0.0003, 0.0015
-#: What a process takes to start.
+#: Network delay within a hall and between halls, at least; at most twice that.
+SAME_HALL_S, CROSS_HALL_S = 0.0003, 0.0015
+#: Time that a process takes to start.
 START_S = 0.4
 
 
 class Disk:
-    """What one box has synced; it stands in for `storage.Storage`."""
+    """The synced contents of one disk; stands in for `storage.Storage`."""
 
     def __init__(self, node_id, config):
         self.node_id = node_id
@@ -47,12 +48,12 @@
             entries=list(self.entries),
         )
 
-    def save(self, vote, fresh):
+    def save(self, vote, new_entries):
         if vote:
             self.term, self.voted_for = vote
-        if fresh:
-            place = fresh[0].index - self.snapshot.index - 1
-            self.entries[place:] = fresh
+        if new_entries:
+            start = new_entries[0].index - self.snapshot.index - 1
+            self.entries[start:] = new_entries
 
     def write_snapshot(self, snapshot):
         pass
@@ -70,7 +71,7 @@
 
 
 class Channel(system.Channel):
-    """A channel that is reached by its own identity."""
+    """A channel with an identity of its own for replies."""
 
     def __init__(self, world, owner, peer=None, number=0):
         super().__init__(world, owner, peer)
@@ -78,17 +79,17 @@
 
 
 class Process(system.Process):
-    """An entry whose connections are made by address."""
+    """An entry process that connects by address."""
 
     def open_dealer(self, address, peer):
         number = len(self.dealers)
-        made = Channel(self.world, self, self.world.box_at(address), number)
-        self.dealers.append(made)
-        return made
+        dealer = Channel(self.world, self, self.world.box_at(address), number)
+        self.dealers.append(dealer)
+        return dealer
 
 
 class World:
-    """Boxes by name: ``halls`` gives (hall, with a disk) of each."""
+    """Boxes by name; ``halls`` maps each to (hall, whether it has a disk)."""
 
     def __init__(self, nursery, rng, halls, seeds, **bounds):
         self.nursery = nursery
@@ -106,7 +107,7 @@
         self.addresses = {
             f'tcp://10.0.0.{n + 1}:1': name for n, name in enumerate(halls)
         }
-        #: Boxes that nothing reaches, and halls whose links are cut.
+        #: Boxes without network, and halls cut off from all others.
         self.isolated = set()
         self.cut_halls = set()
         self.last_due_s = {}
@@ -118,7 +119,7 @@
     def address_of(self, name):
         return next(a for a, n in self.addresses.items() if n == name)
 
-    # Life of boxes.
+    # Start and loss of boxes.
 
     def settings(self, name):
         hall, has_disk = self.halls[name]
@@ -145,30 +146,30 @@
             self._add_controller(name, app, made)
         self.entries[name] = made
         self.processes[name] = app
-        self.nursery.start_soon(self._live, app)
+        self.nursery.start_soon(self._run, app)
 
     def _add_controller(self, name, app, made):
         if name not in self.disks:
             node_id = f'{name}.{self.generations[name]}'
-            founds = not self.founded and name == self.seeds[0]
-            self.founded = self.founded or founds
+            is_founder = not self.founded and name == self.seeds[0]
+            self.founded = self.founded or is_founder
             config = entries.Config({}, {})
-            if founds:
+            if is_founder:
                 voters = {node_id: app.settings['bind']}
                 hall = {node_id: app.settings['hall']}
                 config = entries.Config(voters, {}, hall)
             self.disks[name] = Disk(node_id, config)
-        # The replica opens its disk by the folder of the settings.
-        real, storage.Storage = storage.Storage, lambda _: self.disks[name]
+        # The replica opens its storage by the data folder in the settings.
+        original, storage.Storage = storage.Storage, lambda _: self.disks[name]
         try:
-            office = controller.build(app, Replica)
+            control = controller.build(app, Replica)
         finally:
-            storage.Storage = real
-        formed = formation.Formation(app, office.replica, made.leader)
-        formation.add(app, formed)
-        self.controllers[name] = office
+            storage.Storage = original
+        joined = formation.Formation(app, control.replica, made.leader)
+        formation.add(app, joined)
+        self.controllers[name] = control
 
-    async def _live(self, app):
+    async def _run(self, app):
         with app.scope:
             await app.run()
 
@@ -187,32 +188,34 @@
     async def begin(self, names=None):
         for name in names or self.halls:
             self.start(name)
-        await self.until(self.is_whole)
+        await self.until(self.is_complete)
         await trio.sleep(1)
 
     async def until(self, check, limit_s=20.0):
-        """Return how long it took until ``check()`` holds."""
-        began_s = trio.current_time()
+        """Wait until ``check()`` is true; return how long it took."""
+        started_s = trio.current_time()
         with trio.fail_after(limit_s):
             while not check():
                 await trio.sleep(0.02)
-        return trio.current_time() - began_s
+        return trio.current_time() - started_s
 
-    def is_whole(self):
-        """Return whether all take part, and the voters are as they should."""
+    def is_complete(self):
+        """Return whether all boxes are members and the voters are placed."""
         leader = self.leader()
-        there = [name for name in self.processes if self.reached(name)]
+        reachable = [
+            name for name in self.processes if self.is_reachable(name)
+        ]
         now_s = trio.current_time()
         if not leader or not all(
-            self.entries[name].held.valid(now_s) for name in there
+            self.entries[name].held.valid(now_s) for name in reachable
         ):
             return False
         config = self.config()
-        taking_part = {key.partition('.')[0] for key in config.addresses()}
-        with_disk = {name for name in there if self.halls[name][1]}
+        members = {key.partition('.')[0] for key in config.addresses()}
+        with_disk = {name for name in reachable if self.halls[name][1]}
         losses = self.bounds.get('controller_losses', 1)
         return (
-            taking_part >= with_disk
+            members >= with_disk
             and len(config.voters) == 2 * losses + 1
             and not voterplacement.excess(
                 config, self.bounds.get('hall_losses', 0)
@@ -220,22 +223,22 @@
         )
 
     def leader(self):
-        """Return the box whose controller surely leads, or None."""
+        """Return the box whose controller holds the leader lease, or None."""
         leading = [
-            (office.replica.node.term, name)
-            for name, office in self.controllers.items()
-            if office.replica.lease_valid() and self.reached(name)
+            (control.replica.node.term, name)
+            for name, control in self.controllers.items()
+            if control.replica.lease_valid() and self.is_reachable(name)
         ]
         return max(leading)[1] if leading else None
 
     def config(self):
-        """Return the controllers as the leader has them."""
+        """Return the controllers in the leader's configuration."""
         return self.controllers[self.leader()].replica.node.config
 
     def voters(self):
         return sorted(key.partition('.')[0] for key in self.config().voters)
 
-    def reached(self, name):
+    def is_reachable(self, name):
         hall = self.halls[name][0]
         return name not in self.isolated and hall not in self.cut_halls
 
@@ -246,20 +249,22 @@
             return
         number = channel.number if channel else 0
         if reply:
-            # Names of boxes hold no point.
+            # Names of boxes contain no dot.
             to, incarnation, number = to.split('.')
             number = int(number)
         else:
             incarnation = app.incarnation
         due_s = self._due_s(app.name, to)
-        what = (app, to, data, reply, incarnation, number)
-        self.nursery.start_soon(self._deliver, due_s, *what)
+        args = (app, to, data, reply, incarnation, number)
+        self.nursery.start_soon(self._deliver, due_s, *args)
 
     def _due_s(self, sender, to):
-        is_near = self.halls[sender][0] == self.halls[to][0]
-        way_s = (NEAR_S if is_near else FAR_S) * (1 + self.rng.random())
-        due_s = trio.current_time() + way_s
-        # One connection keeps its order.
+        is_local = self.halls[sender][0] == self.halls[to][0]
+        delay_s = (SAME_HALL_S if is_local else CROSS_HALL_S) * (
+            1 + self.rng.random()
+        )
+        due_s = trio.current_time() + delay_s
+        # Messages between two boxes stay in order.
         due_s = max(due_s, self.last_due_s.get((sender, to), 0) + 1e-6)
         self.last_due_s[sender, to] = due_s
         return due_s
@@ -287,10 +292,10 @@
             if not dealer.closed:
                 dealer.put([data])
 
-    # What operators do.
+    # Writes.
 
-    async def order(self, box, version, limit_s):
-        """Put a routes document at a box; true where acknowledged."""
+    async def write(self, box, version, limit_s):
+        """Put a routes document at a box; return whether it succeeded."""
         app = self.processes.get(box)
         if app is None or box in self.isolated or app.nursery is None:
             if box in self.isolated:
@@ -312,12 +317,12 @@
         return done.is_set()
 
     async def write_until_acked(self, boxes, version, wait_s=1.0):
-        """Order at one box after another; return how long it took."""
-        began_s = trio.current_time()
+        """Write at one box after another; return how long it took."""
+        started_s = trio.current_time()
         backoff_s = 0.1
         for box in boxes:
-            if await self.order(box, version, wait_s):
-                return trio.current_time() - began_s
+            if await self.write(box, version, wait_s):
+                return trio.current_time() - started_s
             await trio.sleep(backoff_s)
             backoff_s = min(2 * backoff_s, 1.0)
         raise AssertionError(f'{version} was never acknowledged')
