--- a/features/changes.feature
+++ b/features/changes.feature
@@ -1,13 +1,13 @@
-Feature: Operators' changes of the controllers, sent again
+Feature: Retried operator commands on the controllers
 
-  A call whose answer is late is sent again, to the same leader or another.
+  A call that has timed out is retried at the same leader or another one.
 
-  Scenario: A controller that is added twice is answered alike
-    Given a leading controller that knows c1 as a voter and c2 as a learner
+  Scenario: Adding a controller twice gives the same reply and one change
+    Given a leader whose configuration has the voter c1 and the learner c2
     When the operator sends "add c3" twice
-    Then both are answered "c3.0 is a learner" and the controllers changed once
+    Then both replies are "c3.0 is a learner" and the controllers changed once
 
-  Scenario: An identity that is there at another address is not added
-    Given a leading controller that knows c1 as a voter and c2 as a learner
+  Scenario: A known identity at another address is not added
+    Given a leader whose configuration has the voter c1 and the learner c2
     When the operator adds c2 at another address
-    Then that is refused with code 1402
+    Then the command is refused with code 1402
--- a/features/steps/changes_steps.py
+++ b/features/steps/changes_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on operators' changes of the controllers."""
+"""Steps for operator commands on the controllers."""
 
 import types
 
@@ -22,36 +22,36 @@
         self.changes = 0
 
     def check_leader(self):
-        """Lead for ever."""
+        """Never raise: this replica always leads."""
 
     async def change_config(self, config):
-        """Take a configuration."""
+        """Commit a configuration."""
         self.node.config = config
         self.changes += 1
 
 
 class App:
-    """Connections to controllers that tell the identity of their name."""
+    """Connections to controllers that reply with their identity."""
 
     def connect(self, address, name):
-        """Return a caller whose answers name the controller at the address."""
+        """Return a caller to the controller ``name``."""
 
         async def call(message, timeout_s):
-            told = name if name in ('c1', 'c2') else f'{name}.0'
-            return messages.AdminReply(True, told)
+            node_id = name if name in ('c1', 'c2') else f'{name}.0'
+            return messages.AdminReply(True, node_id)
 
         return types.SimpleNamespace(call=call, close=lambda: None)
 
 
 def _send(context, action, name, address):
     message = messages.Admin(action, name, address)
-    return trio.run(context.office.on_admin, None, message)
+    return trio.run(context.handler.on_admin, None, message)
 
 
-@given('a leading controller that knows c1 as a voter and c2 as a learner')
-def lead(context):
+@given('a leader whose configuration has the voter c1 and the learner c2')
+def make_leader(context):
     context.replica = Replica()
-    context.office = changes.AdminHandler(App(), context.replica)
+    context.handler = changes.AdminHandler(App(), context.replica)
 
 
 @when('the operator sends "{action} {name}" twice')
@@ -60,21 +60,21 @@
     context.replies = [_send(context, action, name, address) for _ in range(2)]
 
 
-@then('both are answered "{answer}" and the controllers changed once')
-def check_alike(context, answer):
+@then('both replies are "{answer}" and the controllers changed once')
+def check_replies(context, answer):
     expected = messages.AdminReply(True, answer)
     assert context.replies == [expected] * 2, context.replies
     assert context.replica.changes == 1, context.replica.changes
 
 
 @when('the operator adds c2 at another address')
-def add_elsewhere(context):
+def add_at_other_address(context):
     try:
         context.reply = _send(context, 'add', 'c2', 'tcp://c2:9')
     except errors.MountridgeError as problem:
         context.problem = problem
 
 
-@then('that is refused with code {code:d}')
+@then('the command is refused with code {code:d}')
 def check_refused(context, code):
     assert context.problem.code == code, context.problem
