--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on single deciding functions and on input from outside."""
+"""Steps for single decision functions and for external input."""
 
 from behave import given, then
 from hypothesis import given as for_all
@@ -21,7 +21,7 @@
 
 
 def code_of(call, *args):
-    """Return the code of the error that a call raises, 0 for none."""
+    """Return the code of the error that a call raises, or 0."""
     try:
         call(*args)
     except errors.MountridgeError as problem:
@@ -36,7 +36,7 @@
     )  # fmt: skip
 
 
-@given("an agent's tickets, one accepted")
+@given("an agent's ticket log with an accepted ticket")
 def some_tickets(context):
     context.log = tickets.TicketLog('i1')
     context.log.accept(_ticket(), 100.0)
@@ -53,7 +53,7 @@
             context.log.begin('t1')
             context.log.end('t1', errors.RAN, 101.0)
             now_s = 125.0
-    elif case.startswith('that was on'):
+    elif case.startswith('that was in transit'):
         now_s = 140.0
     else:
         context.log.bar('t2', 100.0)
@@ -61,7 +61,7 @@
 
 
 @then(
-    'a revocation says "{before}" before, "{during}" during and "{after}"'
+    'a revocation returns "{before}" before, "{during}" during and "{after}"'
     ' after'
 )
 def revocation(context, before, during, after):
@@ -81,7 +81,7 @@
     return messages.Claim(key, digest, 'r', attempt_id, 'agent', 'i1')
 
 
-@given('claims, one granted')
+@given('claims of which one is granted')
 def some_claims(context):
     context.claims = claims.Claims()
     context.claims.clock_s = NOW_S
@@ -95,33 +95,33 @@
 
 
 def _open(context, case):
-    """Open the claim of a case and return its reply."""
-    kept = context.claims
+    """Open the claim of a case and return the reply."""
+    table = context.claims
     if 'same attempt after' in case:
         _end(context, errors.RAN)
-        return kept.open(_claim(), NOW_S)
+        return table.open(_claim(), NOW_S)
     if 'same attempt' in case:
-        return kept.open(_claim(), NOW_S)
+        return table.open(_claim(), NOW_S)
     if 'another attempt' in case:
-        return kept.open(_claim('a2'), NOW_S)
+        return table.open(_claim('a2'), NOW_S)
     if 'another request' in case:
-        return kept.open(_claim('a2', 'other'), NOW_S)
+        return table.open(_claim('a2', 'other'), NOW_S)
     if 'not to run' in case:
         _end(context, errors.NOT_RUN)
-        return kept.open(_claim('a2'), NOW_S)
+        return table.open(_claim('a2'), NOW_S)
     if 'tomorrow' in case:
-        return kept.open(_claim('a2', key='x'), NOW_S + 86400)
-    if 'that has no time' in case:
+        return table.open(_claim('a2', key='x'), NOW_S + 86400)
+    if 'without a time' in case:
         return claims.key_time('no-time')
-    kept.clock_s = NOW_S + 700
-    kept.expire(600)
+    table.clock_s = NOW_S + 700
+    table.expire(600)
     if 'stepped back' in case:
-        kept.clock_s = NOW_S + 10
-        kept.expire(600)
-    if 'keeping longer' in case:
-        kept.expire(6000)
-    assert not kept.records
-    return kept.open(_claim('a2'), NOW_S)
+        table.clock_s = NOW_S + 10
+        table.expire(600)
+    if 'longer retention' in case:
+        table.expire(6000)
+    assert not table.records
+    return table.open(_claim('a2'), NOW_S)
 
 
 @then('a claim {case} is {answer}')
@@ -132,17 +132,17 @@
         assert _open(context, case).granted == (answer == 'granted')
 
 
-@then('the end that came first stays, but unknown gives way to ran')
-def first_end(context):
-    kept = context.claims
+@then('the first outcome is kept, but ran replaces unknown')
+def first_outcome(context):
+    table = context.claims
     key = _claim().key
-    kept.lose('agent', 'i2')
-    assert kept.records[key].outcome == errors.UNKNOWN
+    table.lose('agent', 'i2')
+    assert table.records[key].outcome == errors.UNKNOWN
     _end(context, errors.RAN)
-    assert kept.records[key].outcome == errors.RAN
+    assert table.records[key].outcome == errors.RAN
     _end(context, errors.NOT_RUN)
-    kept.lose('agent', 'i3')
-    assert kept.records[key].outcome == errors.RAN
+    table.lose('agent', 'i3')
+    assert table.records[key].outcome == errors.RAN
 
 
 def _grant(term, index, changes=()):
@@ -150,7 +150,7 @@
     return messages.Grant(3.0, fence, index, False, list(changes), [])
 
 
-@given('a holder that took a grant of term {term:d} at index {index:d}')
+@given('a holder with a grant of term {term:d} at index {index:d}')
 def holder(context, term, index):
     context.held = leases.HeldLease()
     assert context.held.take(_grant(term, index), 100.0)
@@ -158,8 +158,8 @@
     context.case = context.scenario.name.partition(' with ')[2]
 
 
-@then('it does not take it')
-def not_taken(context):
+@then('it does not accept it')
+def not_accepted(context):
     term, index = (2, 11) if 'term' in context.case else (3, 9)
     term = 4 if 'later leader' in context.case else term
     assert not context.held.take(_grant(term, index), 101.0)
@@ -167,8 +167,8 @@
     assert context.held.view.index == 10
 
 
-@then('it does not take the push')
-def push_not_taken(context):
+@then('it does not accept the push')
+def push_not_accepted(context):
     fence = messages.Fence(3, 12)
     since = 10
     if 'gap' in context.case:
@@ -180,15 +180,15 @@
     assert context.held.view.index == 10
 
 
-@then('it counts it from when it was asked for')
-def counted_from_ask(context):
+@then('it starts the lease at the request')
+def starts_at_request(context):
     assert context.held.take(_grant(3, 11), 101.0)
     assert context.held.valid(103.9) and not context.held.valid(104.0)
 
 
-@given('a queue of {slots:d} slots, {kept:d} kept for pings')
-def queue(context, slots, kept):
-    context.queue = queues.Queue(slots, kept, mean_s=1.0)
+@given('a queue of {slots:d} slots, {reserved:d} reserved for pings')
+def queue(context, slots, reserved):
+    context.queue = queues.Queue(slots, reserved, mean_s=1.0)
 
 
 def _push(queue, name, team='t', priority=2, weight=1.0, expires_s=1e6):
@@ -204,7 +204,7 @@
 
 
 @then('3 drafts start and a slot stays free')
-def kept_slot(context):
+def reserved_slot(context):
     for number in range(6):
         _push(context.queue, f'd{number}')
     assert len(_pop_all(context.queue)) == 3
@@ -212,7 +212,7 @@
     assert [i.attempt_id for i in _pop_all(context.queue)] == ['ping']
 
 
-@then('a ping starts before drafts that came first')
+@then('a ping starts before earlier drafts')
 def ping_first(context):
     for number in range(6):
         _push(context.queue, f'd{number}')
@@ -220,7 +220,7 @@
     assert _pop_all(context.queue)[0].attempt_id == 'ping'
 
 
-@then('of two teams the one of weight 3 starts 3 in 4')
+@then('of two teams the one of weight 3 starts 3 of 4')
 def weighted(context):
     queue = context.queue
     for number in range(100):
@@ -242,18 +242,18 @@
     try:
         _push(context.queue, 'late', expires_s=1.0)
     except errors.Busy as problem:
-        # Six wait before it, three at a time, 1 s each.
+        # Six requests wait ahead of it and run three at a time, 1 s each.
         assert 0.5 < problem.retry_after_s < 3, problem.retry_after_s
     else:
-        raise AssertionError('it was taken')
+        raise AssertionError('it was accepted')
     _push(context.queue, 'early', expires_s=10.0)
 
 
 @then('a removed request never starts')
 def removed(context):
-    _push(context.queue, 'gone')
-    assert context.queue.remove('gone')
-    assert not context.queue.remove('gone')
+    _push(context.queue, 'removed')
+    assert context.queue.remove('removed')
+    assert not context.queue.remove('removed')
     assert _pop_all(context.queue) == []
 
 
@@ -276,7 +276,7 @@
 
 
 class Share:
-    """One gateway's limiter, its lease, and what it runs."""
+    """One gateway's limiter, lease and running requests."""
 
     def __init__(self):
         self.limiter = limits.Limiter()
@@ -286,11 +286,11 @@
 
 
 def _play_shares(history):
-    """Play (action, gateway, wait) and return the most at once."""
-    now_s, most, quiet = 0.0, 0, 0.0
+    """Apply (action, gateway, wait_s) steps; return the peak of requests."""
+    now_s, peak, quiet_until_s = 0.0, 0, 0.0
     gateways = {name: Share() for name in range(4)}
     leader = limits.Apportioner(0.0)
-    seen = {}
+    lease_ends = {}
     for action, name, wait_s in history:
         now_s += wait_s
         gateway = gateways[name]
@@ -298,10 +298,10 @@
             for _ in [e for e in each.ends if e <= now_s]:
                 each.limiter.release(KEY)
             each.ends = [e for e in each.ends if e > now_s]
-        for other, until_s in list(seen.items()):
+        for other, until_s in list(lease_ends.items()):
             if until_s <= now_s:
                 leader.forget(other, {KEY: ROW}, now_s)
-                del seen[other]
+                del lease_ends[other]
         if action in ('renew', 'renew, lost'):
             granted = leader.grant(
                 name,
@@ -310,7 +310,7 @@
                 {KEY: ROW},
                 now_s,
             )
-            seen[name] = now_s + 3
+            lease_ends[name] = now_s + 3
             if action == 'renew':
                 gateway.shares = {s.row: s for s in granted}
                 gateway.lease_s = now_s + 3
@@ -318,17 +318,17 @@
             gateway.limiter, gateway.shares = limits.Limiter(), {}
             gateway.lease_s, gateway.ends = -1.0, []
         elif action == 'fail over':
-            quiet = now_s + 3
-            leader = limits.Apportioner(quiet)
-            seen = {}
+            quiet_until_s = now_s + 3
+            leader = limits.Apportioner(quiet_until_s)
+            lease_ends = {}
         else:
             for _ in range(4):
                 share = gateway.shares.get(KEY)
                 if now_s < gateway.lease_s:
                     if not code_of(gateway.limiter.admit, KEY, share, now_s):
                         gateway.ends.append(now_s + 4.9)
-        most = max(most, sum(len(g.ends) for g in gateways.values()))
-    return most
+        peak = max(peak, sum(len(g.ends) for g in gateways.values()))
+    return peak
 
 
 @then('in {count:d} random histories no row is used above its limit')
@@ -359,21 +359,23 @@
     assert max(seen) >= 7, max(seen)
 
 
-@then('a row lent to a gateway that lapsed is free after its deadline only')
-def lapsed(context):
+@then(
+    'the share of a lapsed gateway is free only after the deadline of its row'
+)
+def lapsed_share(context):
     leader = limits.Apportioner(0.0)
     rows = {KEY: ROW}
-    want = [messages.Share(KEY, 10, 10.0)]
-    given_ = leader.grant('g1', want, [], rows, 1.0)
-    assert given_[0].concurrency == 10
+    demand = [messages.Share(KEY, 10, 10.0)]
+    granted = leader.grant('g1', demand, [], rows, 1.0)
+    assert granted[0].concurrency == 10
     leader.forget('g1', rows, 4.0)
-    assert leader.grant('g2', want, [], rows, 4.0 + 4.9) == [
+    assert leader.grant('g2', demand, [], rows, 4.0 + 4.9) == [
         messages.Share(KEY, 0, 100.0)
     ]
-    assert leader.grant('g2', want, [], rows, 4.0 + 5.1)[0].concurrency == 10
+    assert leader.grant('g2', demand, [], rows, 4.0 + 5.1)[0].concurrency == 10
 
 
-@then('an attempt takes frames in their places only, each once')
+@then('an attempt accepts frames only in order, each once')
 def frames_in_place(context):
     attempt = attempts.Attempt('t1', 'a1')
 
@@ -395,39 +397,39 @@
     )
 
 
-@given('{count:d} runners as a gateway knows them')
+@given('{count:d} runners known to a gateway')
 def known_runners(context, count):
     context.known = runners.Runners()
     listed = [_member(f'a{n}') for n in range(count)]
     context.known.update(listed, 0.0)
 
 
-def _out(known, now_s):
+def _ejected(known, now_s):
     return {c.name for c in known.candidates('s', {'*'}, now_s) if c.ejected}
 
 
-@then('3 failures leave one out for 2 s, then 4 s, and data brings it back')
+@then('3 failures eject one for 2 s, then 4 s, and data ends the ejection')
 def ejected(context):
     known = context.known
     for _ in range(2):
         known.failed('a0', 100.0)
-    assert _out(known, 100.0) == set()
+    assert _ejected(known, 100.0) == set()
     known.failed('a0', 100.0)
-    assert _out(known, 101.9) == {'a0'}
-    assert _out(known, 102.1) == set(), 'it is not probed'
+    assert _ejected(known, 101.9) == {'a0'}
+    assert _ejected(known, 102.1) == set(), 'it is not probed'
     known.failed('a0', 103.0)
-    assert _out(known, 106.9) == {'a0'} and _out(known, 107.1) == set()
+    assert _ejected(known, 106.9) == {'a0'} and _ejected(known, 107.1) == set()
     known.first_data('a0', 0.1)
     known.failed('a0', 108.0)
-    assert _out(known, 108.1) == set()
+    assert _ejected(known, 108.1) == set()
 
 
-@then('of {count:d} failing runners at most {most:d} are left out')
+@then('of {count:d} failing runners at most {most:d} are ejected')
 def capped(context, count, most):
     for number in range(count):
         for _ in range(3):
             context.known.failed(f'a{number}', 200.0)
-    assert len(_out(context.known, 200.1)) == most
+    assert len(_ejected(context.known, 200.1)) == most
 
 
 def _with(**changes):
@@ -436,9 +438,9 @@
 
 WRONG = {
     'an unknown key': _with(gateway={'prot': 1}),
-    'a number below zero': _with(lease={'lease_s': -1.0}),
-    'an address with no port': _with(bind='tcp://127.0.0.1'),
-    'a wrong role': _with(role='proxy'),
+    'a negative number': _with(lease={'lease_s': -1.0}),
+    'an address without port': _with(bind='tcp://127.0.0.1'),
+    'an unknown role': _with(role='proxy'),
     'keys neither off nor on': _with(keys={'off': False}),
     'a slow renewal': _with(lease={'renew_s': 2.0}),
     'a key of 65 bytes': _with(digest_key='k' * 65),
@@ -462,8 +464,8 @@
 
 @then('settings with three errors give three lines')
 def three_errors(context):
-    given_ = _with(bind='x', role='y', lease={'lease_s': 'z'})
-    assert len(_lines(settings_module.check, given_)) == 3
+    wrong = _with(bind='x', role='y', lease={'lease_s': 'z'})
+    assert len(_lines(settings_module.check, wrong)) == 3
 
 
 @then('a sheet with three errors gives three lines with row and column')
@@ -492,7 +494,7 @@
 GOOD_SHEET = 'team,service,weight,queue_s,repeatable\na,b,1,5,yes\n'
 
 
-@then('{count:d} random inputs of {kind} end so')
+@then('{count:d} random inputs of {kind} give one or the other')
 def random_inputs(context, count, kind):
     good = messages.encode(messages.Ask('r', 1), 7)
 
