--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on the way to the leader, on connections, and on planned stops."""
+"""Steps for calls to the leader, connections and planned stops."""
 
 import socket
 import types
@@ -16,13 +16,13 @@
 from mountridge.net import sockets
 from mountridge.state import members
 
-#: Ends a scenario that would wait for ever; it decides no verdict.
+#: Timeout of a scenario that hangs; no result depends on it.
 GUARD_S = 60
 ADDRESSES = {name: f'tcp://127.0.0.1:{n}' for n, name in enumerate('abc', 1)}
 
 
-class _Silent:
-    """Controllers of which the leader, ``a``, is silent until a time."""
+class _UnresponsiveLeader:
+    """An application whose leader, ``a``, does not reply until a time."""
 
     settings = {
         'controllers': ADDRESSES,
@@ -33,13 +33,13 @@
 
     def __init__(self, until_s):
         self.until_s = until_s
-        self.heard = {}
+        self.on_received = {}
 
     def now_s(self):
         return trio.current_time()
 
     def connect(self, address, peer, on_message=None, on_heard=None):
-        self.heard[peer] = on_heard
+        self.on_received[peer] = on_heard
         return types.SimpleNamespace(
             call=lambda message, timeout_s, late=None: self._answer(
                 peer, timeout_s
@@ -60,25 +60,25 @@
 
 
 @given('a leader that says nothing for 1 s, and two that do not lead')
-def silent_leader(context):
-    context.silent_s = 1.0
+def unresponsive_leader(context):
+    context.unresponsive_s = 1.0
 
 
 @when('calls go on meanwhile, and a late reply of it comes after 1 s')
 def call_meanwhile(context):
     async def main():
-        app = _Silent(trio.current_time() + context.silent_s)
+        app = _UnresponsiveLeader(trio.current_time() + context.unresponsive_s)
         leader = members.Leader(app)
-        with trio.move_on_after(context.silent_s):
+        with trio.move_on_after(context.unresponsive_s):
             while True:
                 try:
                     await leader.call(messages.Leave('i'), 2.0)
                 except errors.NoController:
                     pass
-        app.heard['a']()
-        began_s = trio.current_time()
+        app.on_received['a']()
+        started_s = trio.current_time()
         await leader.call(messages.Leave('i'), 5.0)
-        context.took_s = trio.current_time() - began_s
+        context.took_s = trio.current_time() - started_s
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -103,10 +103,10 @@
 
 
 @when('a process connects to it')
-def connect_there(context):
-    made = zmq.Context()
-    context.add_cleanup(made.destroy, linger=0)
-    given = {
+def connect_to_full_queue(context):
+    zmq_context = zmq.Context()
+    context.add_cleanup(zmq_context.destroy, linger=0)
+    configured = {
         'role': 'gateway',
         'name': 'g',
         'bind': 'tcp://127.0.0.1:1',
@@ -115,18 +115,20 @@
     }
     address = f'tcp://127.0.0.1:{context.port}'
     context.channel = sockets.dealer(
-        made, settings.check(given), address, 'a', 'g.1'
+        zmq_context, settings.check(configured), address, 'a', 'g.1'
     )
     context.monitor = context.channel.socket.get_monitor_socket()
 
 
 @then('it begins the connection anew without waiting for the system')
-def check_anew(context):
-    begun = 0
-    while begun < 3:
-        assert context.monitor.poll(GUARD_S * 1000), 'it waits for ever'
-        told = monitor.recv_monitor_message(context.monitor)
-        begun += told['event'] == zmq.EVENT_CONNECT_DELAYED
+def check_reconnects(context):
+    attempts = 0
+    while attempts < 3:
+        assert context.monitor.poll(
+            GUARD_S * 1000
+        ), 'no further connection attempt'
+        event = monitor.recv_monitor_message(context.monitor)
+        attempts += event['event'] == zmq.EVENT_CONNECT_DELAYED
 
 
 @given(
@@ -148,24 +150,24 @@
 @when('it is told to stop with a request that never ends')
 def stop_entry(context):
     async def main():
-        made = context.entry
-        began_s = made._drain_began_s = trio.current_time()
+        drained = context.entry
+        started_s = drained._drain_began_s = trio.current_time()
 
         def close_idle():
-            assert made.forwarder.closed
-            context.taken_s = trio.current_time() - began_s
+            assert drained.forwarder.closed
+            context.closed_s = trio.current_time() - started_s
 
-        made.front.close_idle = close_idle
-        await entry.Entry.drain(made)
-        context.over_s = trio.current_time() - began_s
+        drained.front.close_idle = close_idle
+        await entry.Entry.drain(drained)
+        context.ended_s = trio.current_time() - started_s
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 @then('it takes new requests for {taken_s:g} s and is over after {over_s:g} s')
 def check_stop(context, taken_s, over_s):
-    assert abs(context.taken_s - taken_s) < 0.01, context.taken_s
-    assert abs(context.over_s - over_s) < 0.1, context.over_s
+    assert abs(context.closed_s - taken_s) < 0.01, context.closed_s
+    assert abs(context.ended_s - over_s) < 0.1, context.ended_s
 
 
 FAULTS = {
@@ -184,11 +186,11 @@
 
 
 @when('an order is given to it')
-def give_order(context):
+def send_order(context):
     order = ranks.RankOrder(ranks.HOLD, 1, 2, 3, [])
-    context.told = trio.run(sidecar.follow, context.engine, order)
+    context.reply = trio.run(sidecar.follow, context.engine, order)
 
 
 @then("the order's outcome is {outcome}")
 def check_outcome(context, outcome):
-    assert context.told['outcome'].startswith(outcome), context.told
+    assert context.reply['outcome'].startswith(outcome), context.reply
