--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -279,7 +279,7 @@
                 with trio.fail_after(CHANGE_TIMEOUT_S):
                     await self.replica.change_config(config)
                 logger.info(
-                    'controller set changed',
+                    'controllers',
                     voters=sorted(config.voters),
                     halls=voterplacement.voters_per_hall(config),
                 )
