--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -13,8 +13,8 @@
 
 from mountridge import application, errors, messages, utils
 from mountridge.consensus import consensus, entries, replicas, storage
-from mountridge.control import changes, halloffice, leadership
-from mountridge.control import quarantineoffice, registry
+from mountridge.control import changes, hallmanager, leadership
+from mountridge.control import quarantinemanager, registry
 from mountridge.groups import groups
 from mountridge.logs import logger
 from mountridge.state import claims, commands, leases, limits, members
@@ -52,10 +52,10 @@
         self.leases = leases.LeaseTable(0.0, 0.0)
         self.apportioner = limits.Apportioner(0.0)
         self.registry = registry.Registry(app, self.machine, self.replica)
-        self.halls = halloffice.HallOffice(
+        self.halls = hallmanager.HallManager(
             app, self.machine, self.replica, self.push
         )
-        self.quarantine = quarantineoffice.QuarantineOffice(
+        self.quarantine = quarantinemanager.QuarantineManager(
             app, self.machine, self.replica, self.push
         )
         #: What engines allow of expert maps, by runner; set by the entry.
@@ -379,7 +379,7 @@
 ) -> Controller:
     """Return a controller whose handlers and tasks are in ``app``."""
     controller = Controller(app, make_replica)
-    office = changes.Changes(app, controller.replica)
+    admin = changes.AdminHandler(app, controller.replica)
     app.handlers[messages.Renew] = controller.renew
     app.handlers[messages.PutTable] = controller.put
     app.handlers[messages.ReadTable] = controller.table
@@ -396,8 +396,8 @@
     app.handlers[messages.Outcome] = controller.outcome
     app.handlers[messages.ReadMembers] = controller.list_members
     app.handlers[messages.Raft] = controller.replica.on_raft
-    app.handlers[messages.Admin] = office.on_admin
-    app.handlers[messages.FindLeader] = leadership.Leadership(
+    app.handlers[messages.Admin] = admin.on_admin
+    app.handlers[messages.FindLeader] = leadership.LeaderLookup(
         app, controller.replica
     ).on_find_leader
     app.tasks += [controller.replica.run, controller.watch]
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -761,18 +761,18 @@
         'quarantine',
     ),
     Mutant(
-        'quarantine: what ended well stays on trial', 'quarantineoffice',
+        'quarantine: what ended well stays on trial', 'quarantinemanager',
         'elif known is not None and (seen or not known.is_held):',
         'elif known is not None and seen:', 'quarantine',
     ),
     Mutant(
-        'quarantine: a trial that crashes takes two', 'quarantineoffice',
-        'most = 1 if is_trial else quarantines.CRASH_THRESHOLD',
-        'most = quarantines.CRASH_THRESHOLD', 'quarantine',
+        'quarantine: a trial that crashes takes two', 'quarantinemanager',
+        'threshold = 1 if is_probing else quarantines.CRASH_THRESHOLD',
+        'threshold = quarantines.CRASH_THRESHOLD', 'quarantine',
     ),
     Mutant(
-        'quarantine: nothing is ever tried again', 'quarantineoffice',
-        'if now_s - since_s >= span_s:', 'if False:', 'quarantine',
+        'quarantine: nothing is ever tried again', 'quarantinemanager',
+        'if now_s - since_s >= duration_s:', 'if False:', 'quarantine',
     ),
     Mutant(
         'quarantine: a good end elsewhere clears nothing', 'quarantine',
@@ -820,8 +820,8 @@
     ),
     Mutant(
         'lives: the log forgets counts', 'registry',
-        'given = heartbeat.instance._replace(seq=heartbeat.seq)',
-        'given = heartbeat.instance', 'lives',
+        'reported = heartbeat.instance._replace(seq=heartbeat.seq)',
+        'reported = heartbeat.instance', 'lives',
     ),
     Mutant(
         'lives: one life moves', 'lives',
@@ -932,22 +932,22 @@
     ),
     Mutant(
         'lives: a start in the future', 'registry',
-        'if given.born_ms > (self.app.wall_s() + FUTURE_S) * 1000:',
+        'if reported.born_ms > (self.app.wall_s() + MAX_CLOCK_SKEW_S) * 1000:',
         'if False:', 'lives',
     ),
     Mutant(
         'lives: any service is registered', 'registry',
-        'if not is_held and not self.names_service(given.service):',
+        'if not is_registered and not self.service_exists(reported.service):',
         'if False:', 'lives',
     ),
     Mutant(
         'lives: who is named no more can not drain', 'registry',
-        'if not is_held and not self.names_service(given.service):',
-        'if not self.names_service(given.service):', 'lives',
+        'if not is_registered and not self.service_exists(reported.service):',
+        'if not self.service_exists(reported.service):', 'lives',
     ),
     Mutant(
         'lives: any hall is registered', 'registry',
-        'if halls and given.hall not in halls:',
+        'if halls and reported.hall not in halls:',
         'if False:', 'lives',
     ),
     Mutant(
@@ -1013,32 +1013,33 @@
     Mutant(
         'losses: a late call looks for nobody', 'members',
         'self._app.start_task(self._search, called)', 'pass', 'losses',
-        'asked at once',
+        'for the leader at once',
     ),
     Mutant(
         'losses: calls wait on at a lost leader', 'members',
         '            if called != address:\n', '            if False:\n',
-        'losses', 'Calls that wait',
+        'losses', 'Calls waiting',
     ),
     Mutant(
         'losses: a search leaves its connections open', 'members',
         'used = {self._current, *self._pending.values()}',
-        'used = set(self._callers)', 'losses', 'opened is closed',
+        'used = set(self._callers)', 'losses', 'opened by a search',
     ),
     Mutant(
         'losses: names are followed again and again', 'members',
         '            and named not in attempted\n', '', 'losses',
-        'out of date',
+        'outdated leader name',
     ),
     Mutant(
         'losses: a lost leader is named to who looks for another',
-        'leadership', 'if named and named != question.excluded:', 'if named:',
-        'losses', 'A controller tells',
+        'leadership', 'if address and address != question.excluded:',
+        'if address:',
+        'losses', 'to a leader query',
     ),
     Mutant(
         'losses: an answer is not held', 'leadership',
         'await self.replica.wait_for_step()', 'break', 'losses',
-        'A controller tells',
+        'to a leader query',
     ),
     Mutant(
         'losses: a box does not follow its own replica', 'formation',
@@ -1049,12 +1050,13 @@
         'losses: voters stand at random times', 'replication',
         'wait_s = ELECTION_STAGGER_S * (1 + position + node.rng.random() / 4)',
         'wait_s = node.timing.election_s * node.rng.random()', 'losses',
-        'the next leader is there soon',
+        'a new leader is elected soon',
     ),
     Mutant(
         'losses: a lost pre-vote costs an election time', 'elections',
         'span_s = node.timing.heartbeat_s * 2**node.pre_vote_attempts',
-        'span_s = 2 * node.timing.election_s', 'losses', 'asks again soon',
+        'span_s = 2 * node.timing.election_s', 'losses',
+        'requests votes again',
     ),
     Mutant(
         'losses: two pre-votes at once are both granted', 'elections',
@@ -1068,58 +1070,58 @@
         'losses', 'at the same moment',
     ),
     Mutant(
-        'losses: a replacement gathers a majority', 'spread',
-        'if voter in silent and excess_after > now:', 'if False:', 'losses',
-        'Voters stand',
+        'losses: a replacement gathers a majority', 'voterplacement',
+        'if voter in unresponsive and new_excess > current_excess:',
+        'if False:', 'losses', 'Voters are placed',
     ),
     Mutant(
-        'losses: voters change places for nothing', 'spread',
-        'if voter not in silent and excess_after >= now:', 'if False:',
-        'losses', 'Voters stand',
+        'losses: voters change places for nothing', 'voterplacement',
+        'if voter not in unresponsive and new_excess >= current_excess:',
+        'if False:', 'losses', 'Voters are placed',
     ),
     Mutant(
-        'losses: any learner will do', 'spread',
-        'return excess(changed, hall_losses), by_hall(changed)',
-        'return 0, {}', 'losses', 'Voters stand',
+        'losses: any learner will do', 'voterplacement',
+        'excess(changed, hall_losses),\n        voters_per_hall(changed)',
+        '0,\n        {}', 'losses', 'Voters are placed',
     ),
     Mutant(
-        'losses: whoever is removed', 'spread',
-        '            excess(changed, hall_losses),\n            key == ',
-        '            key == ', 'losses', 'Voters stand',
+        'losses: whoever is removed', 'voterplacement',
+        '            excess(changed, hall_losses),\n            node_id == ',
+        '            node_id == ', 'losses', 'Voters are placed',
     ),
     Mutant(
         'losses: a place is made before it can be filled', 'formation',
         'return config.promote(learner) if is_full else',
-        'return', 'losses', 'Voters stand',
+        'return', 'losses', 'Voters are placed',
     ),
     Mutant(
         'losses: a fourth voter with no fifth', 'formation',
-        'if len(places.ready) < 2:', 'if False:', 'losses', 'A fourth voter',
+        'if len(state.ready) < 2:', 'if False:', 'losses', 'A fourth voter',
     ),
     Mutant(
         'losses: a better learner is not awaited', 'formation',
-        'if bad > spread.excess(better, places.halls):', 'if False:',
-        'losses', 'is awaited',
+        'if excess > voterplacement.excess(better, state.hall_losses):',
+        'if False:', 'losses', 'in a better hall',
     ),
     Mutant(
         'losses: a leader that no log tells the hall of', 'formation',
         "if node.config.halls.get(node.node_id, '') != hall:", 'if False:',
-        'losses', 'before halls were told',
+        'losses', 'written without halls',
     ),
     Mutant(
         'losses: sets with no halls are written anew', 'entries',
         'self if self.halls else self[:2]', 'self', 'losses',
-        'before halls were told',
+        'written without halls',
     ),
     Mutant(
         'losses: the spread is not told', 'formation',
-        "self.app.metrics.gauge('controllers.hall_loss_stops', int(left < 0))",
-        'pass', 'losses', 'it is said',
+        "self.app.metrics.gauge('controllers.hall_loss_stops', "
+        'int(surplus < 0))', 'pass', 'losses', 'in one hall is reported',
     ),
     Mutant(
         'losses: the spread is told at each look', 'formation',
-        '        if told == self._told:\n', '        if False:\n', 'losses',
-        'it is said',
+        '        if placement == self._reported:\n',
+        '        if False:\n', 'losses', 'in one hall is reported',
     ),
     Mutant(
         'losses: boxes of a lost hall are noted one by one', 'controller',
@@ -1133,7 +1135,9 @@
     ),
     Mutant(
         'lives: late counts that change nothing are heard', 'registry',
-        'if heartbeat.seq < max(known.seq, self._newest_seq.get(life, 0)):',
+        '''if heartbeat.seq < max(
+            registered.seq, self._newest_seq.get(incarnation, 0)
+        ):''',
         'if False:', 'lives',
     ),
     Mutant(
@@ -1155,7 +1159,7 @@
         'halls', 'state of halls',
     ),
     Mutant(
-        'halls: a leader tells what no quorum confirms', 'halloffice',
+        'halls: a leader tells what no quorum confirms', 'hallmanager',
         '        await self._replica.confirm_leadership()\n', '', 'halls',
         'deposed',
     ),
