--- a/mountridge/net/dialects.py
+++ b/mountridge/net/dialects.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""How requests, answers and routes documents are spelt on the wire.
+"""Wire names of requests and responses, and the routes document format.
 
-The project's own spelling is `NATIVE`. An adapter for a platform that spells
-them otherwise gives another `Dialect`; all else stays the same.
+`NATIVE` has the project's own names. An adapter for a platform with other
+names or another document format provides its own `Dialect`.
 """
 
 import math
@@ -20,9 +20,9 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-#: Statuses by which a runner turns a request away, and may ask for rest.
-REFUSALS = (429, 503)
-#: Headers that concern one connection, or that this project sets itself.
+#: Statuses with which a runner rejects a request and may request a backoff.
+REFUSAL_STATUSES = (429, 503)
+#: Hop-by-hop headers, and those that this project sets itself.
 _PER_CONNECTION = frozenset(
     (
         b'connection', b'keep-alive', b'proxy-authenticate',
@@ -33,25 +33,25 @@
 
 
 class HeaderNames(typing.NamedTuple):
-    """Names of headers, in lower case."""
+    """Header names, in lower case."""
 
     request_id: bytes = b'x-request-id'
-    deadline_ms: bytes = b'x-deadline-ms'  # time that the caller waits
+    deadline_ms: bytes = b'x-deadline-ms'  # how long the caller waits
     team: bytes = b'x-team'  # to runners only
     expect_instance: bytes = b'x-expect-instance'  # to runners only
     priority: bytes = b'x-priority'  # to runners only
     instance_id: bytes = b'x-instance-id'  # from runners
-    not_run: bytes = b'x-not-run'  # from runners: it did not run
+    not_run: bytes = b'x-not-run'  # from runners: the request did not run
     load: bytes = b'x-load'  # from runners: running, waiting, slots
-    token_counts: bytes = b'x-token-counts'  # of the prompt, most out
-    prefix_parts: bytes = b'x-prefix-parts'  # ID:TOKENS by commas
+    token_counts: bytes = b'x-token-counts'  # PROMPT,MAX_OUTPUT
+    prefix_parts: bytes = b'x-prefix-parts'  # ID:TOKENS, comma-separated
     last_event_id: bytes = b'last-event-id'
-    retry_after: bytes = b'retry-after'  # from runners: seconds of rest
+    retry_after: bytes = b'retry-after'  # from runners: backoff in seconds
     leaving: bytes = b'x-leaving'  # from runners: it is about to end
 
 
 class Dialect(typing.NamedTuple):
-    """A spelling: header names, and how a routes document is read."""
+    """Header names, and the decoder of routes documents."""
 
     headers: HeaderNames
     decode_routes: typing.Callable[[bytes], routes.RouteTable]
@@ -61,7 +61,7 @@
 
 
 class Call(typing.NamedTuple):
-    """What a request's head says of its handling."""
+    """Parts of a request's head that determine its handling."""
 
     request_id: str
     host: str
@@ -74,7 +74,7 @@
 
 
 class ReplyHead(typing.NamedTuple):
-    """What a runner's answer says besides its body."""
+    """Parsed head of a runner's response."""
 
     status: int
     request_id: str | None
@@ -82,17 +82,17 @@
     instance_id: str | None
     running: int | None
     waiting: int | None
-    #: Seconds for which it wants nothing from the asker; None where it does
-    #: not say. Not a number where that can't be read.
+    #: How long the sender of the request must back off from the runner; None
+    #: if not requested, NaN if malformed.
     rest_s: float | None = None
-    #: It is about to end, by a 1 in that header.
+    #: The runner is about to end: its header has the value 1.
     is_leaving: bool = False
 
 
 def read_call(request: httpserver.Request, names: HeaderNames) -> Call:
-    """Return what rules the handling of ``request``.
+    """Return the parts of the head that determine the handling.
 
-    :raises BadRequest: a header can't be read.
+    :raises BadRequest: a header is malformed.
     """
     found = _first_values(request.headers)
     host = _text(found.get(b'host', b'')).partition(':')[0]
@@ -135,14 +135,14 @@
 
 
 def _token_counts(value: bytes | None) -> tuple[int, int]:
-    """Return the tokens of the prompt and the most that come out."""
+    """Return the numbers of prompt tokens and of output tokens at most."""
     if value is None:
         return 0, 0
     prompt, _, output = value.partition(b',')
     try:
         return int(prompt), int(output or 0)
     except ValueError:
-        raise errors.BadRequest(f'token counts: {_text(value)!r}')
+        raise errors.BadRequest(f'malformed token counts: {_text(value)!r}')
 
 
 def runner_headers(
@@ -150,9 +150,9 @@
     names: HeaderNames,
     added: Headers,
 ) -> Headers:
-    """Return the headers for the runner: the caller's, less its key.
+    """Return the headers for the runner: the caller's without its key.
 
-    ``added`` are those that this project sets, whatever the caller sent.
+    ``added`` are set by this project and replace those of the caller.
     """
     dropped = _PER_CONNECTION | {
         b'authorization',
@@ -180,7 +180,7 @@
 
 
 def reply_headers(headers: Headers, keep_length: bool) -> Headers:
-    """Return the headers of a runner's answer that the caller gets."""
+    """Return the headers of a runner's response for the caller."""
     dropped = _PER_CONNECTION | _named_in_connection(headers)
     if keep_length:
         dropped -= {b'content-length'}
@@ -188,7 +188,7 @@
 
 
 def read_reply(status: int, headers: Headers, names: HeaderNames) -> ReplyHead:
-    """Return what the head of a runner's answer says."""
+    """Parse the head of a runner's response."""
     found = _first_values(headers)
     request_id = found.get(names.request_id)
     instance_id = found.get(names.instance_id)
@@ -200,13 +200,13 @@
         None if instance_id is None else _text(instance_id),
         running,
         waiting,
-        _rest_s(status, found.get(names.retry_after)),
+        _backoff_s(status, found.get(names.retry_after)),
         found.get(names.leaving) == b'1',
     )
 
 
 def kept_s(headers: Headers) -> float | None:
-    """Return for how long an idle connection is kept, None where untold."""
+    """Return the time-out of idle connections, None if not announced."""
     value = _first_values(headers).get(b'keep-alive', b'')
     for parameter in value.split(b','):
         name, _, span = parameter.strip().partition(b'=')
@@ -215,19 +215,19 @@
     return None
 
 
-def _rest_s(status: int, value: bytes | None) -> float | None:
-    """Return the rest that a refusal asks for; NaN where unreadable."""
-    if value is None or status not in REFUSALS:
+def _backoff_s(status: int, value: bytes | None) -> float | None:
+    """Return the backoff requested by a refusal; NaN if malformed."""
+    if value is None or status not in REFUSAL_STATUSES:
         return None
     try:
-        rest_s = float(value)
+        span_s = float(value)
     except ValueError:
         return math.nan
-    return rest_s if math.isfinite(rest_s) and rest_s >= 0 else math.nan
+    return span_s if math.isfinite(span_s) and span_s >= 0 else math.nan
 
 
 def _load(value: bytes | None) -> tuple[int | None, int | None]:
-    """Return the requests running and waiting, None where untold."""
+    """Return the requests running and waiting, None if not reported."""
     if value is None:
         return None, None
     parts = value.split(b',')
