--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -318,9 +318,9 @@
         int(status), [(name, value)], dialects.NATIVE.headers
     )
     if span == 'invalid':
-        assert math.isnan(head.rest_s), head
+        assert math.isnan(head.backoff_s), head
     else:
-        assert head.rest_s == (None if span == 'no' else float(span)), head
+        assert head.backoff_s == (None if span == 'no' else float(span)), head
     assert head.is_leaving == (leaves == 'leaves'), head
 
 
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -267,8 +267,8 @@
         :raises RunnerRefused: it says that it has not run the request.
         """
         now_s = self.app.now_s()
-        if head.rest_s is not None:
-            self._rest(head.rest_s, now_s)
+        if head.backoff_s is not None:
+            self._rest(head.backoff_s, now_s)
         elif head.is_leaving:
             self._rest(LEAVING_S, now_s)
         elif not head.not_run and self.backoff_state.record_accepted(now_s):
--- a/mountridge/net/dialects.py
+++ b/mountridge/net/dialects.py
@@ -84,7 +84,7 @@
     waiting: int | None
     #: How long the sender of the request must back off from the runner; None
     #: if not requested, NaN if malformed.
-    rest_s: float | None = None
+    backoff_s: float | None = None
     #: The runner is about to end: its header has the value 1.
     is_leaving: bool = False
 
@@ -220,10 +220,12 @@
     if value is None or status not in REFUSAL_STATUSES:
         return None
     try:
-        span_s = float(value)
+        backoff_s = float(value)
     except ValueError:
         return math.nan
-    return span_s if math.isfinite(span_s) and span_s >= 0 else math.nan
+    return (
+        backoff_s if math.isfinite(backoff_s) and backoff_s >= 0 else math.nan
+    )
 
 
 def _load(value: bytes | None) -> tuple[int | None, int | None]:
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -384,7 +384,7 @@
         self._apply_announcements(exchange, backend.instance, head)
         if head.not_run:
             # A backoff concerns this runner alone, not its group.
-            is_backoff = head.rest_s is not None
+            is_backoff = head.backoff_s is not None
             if self.picker.has_ranks(exchange.service) and not is_backoff:
                 self.known.record_refusal(backend, now_s)
             raise errors.RunnerRefused(f'the runner answered {head.status}')
@@ -415,12 +415,12 @@
             'request': exchange.call.request_id,
             'runner': runner.instance_id,
         }
-        if head.rest_s is not None:
+        if head.backoff_s is not None:
             backoff_until_s = self.known.backoffs.back_off(
-                runner, head.rest_s, now_s
+                runner, head.backoff_s, now_s
             )
             self.app.metrics.incr('rest.asked')
-            if math.isnan(head.rest_s):
+            if math.isnan(head.backoff_s):
                 self.app.metrics.incr('runner.malformed.rest')
             rest_ms = _to_ms(backoff_until_s - now_s)
             logger.info(
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -609,7 +609,7 @@
     ),
     Mutant(
         'rests: none is heard', 'forwarding',
-        'if head.rest_s is not None:', 'if False:', 'rests',
+        'if head.backoff_s is not None:', 'if False:', 'rests',
     ),
     Mutant(
         'rests: no word of leaving is heard', 'forwarding',
@@ -662,7 +662,7 @@
     ),
     Mutant(
         'rests: an agent hears none', 'agent',
-        'if head.rest_s is not None:', 'if False:', 'rests', 'agent',
+        'if head.backoff_s is not None:', 'if False:', 'rests', 'agent',
     ),
     Mutant(
         'rests: an agent takes tickets in one', 'agent',
