--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -314,7 +314,7 @@
         ' with '
     )
     name, _, value = header.encode().partition(b': ')
-    head = dialects.read_reply(
+    head = dialects.read_reply_head(
         int(status), [(name, value)], dialects.NATIVE.headers
     )
     if span == 'invalid':
--- a/features/worlds/rests.py
+++ b/features/worlds/rests.py
@@ -110,7 +110,7 @@
         answer = await runner.serve(self._gateway)
         await trio.sleep(runner.latency_s)
         headers = [(NAMES.request_id, request_id.encode()), *answer.headers]
-        head = dialects.read_reply(answer.status, headers, NAMES)
+        head = dialects.read_reply_head(answer.status, headers, NAMES)
         yield types.SimpleNamespace(
             head=head, headers=headers, read_body=answers.read_body
         )
--- a/mountridge/net/dialects.py
+++ b/mountridge/net/dialects.py
@@ -14,8 +14,9 @@
 from mountridge.net import httpserver
 
 __all__ = [
-    'Call', 'Dialect', 'HeaderNames', 'NATIVE', 'ReplyHead', 'read_call',
-    'kept_s', 'read_reply', 'reply_headers', 'runner_headers',
+    'Dialect', 'HeaderNames', 'NATIVE', 'ReplyHead', 'RequestHead',
+    'keep_alive_s', 'read_reply_head', 'read_request_head', 'reply_headers',
+    'runner_headers',
 ]  # fmt: skip
 
 Headers = list[tuple[bytes, bytes]]
@@ -60,7 +61,7 @@
 NATIVE = Dialect(HeaderNames(), routes.decode)
 
 
-class Call(typing.NamedTuple):
+class RequestHead(typing.NamedTuple):
     """Parts of a request's head that determine its handling."""
 
     request_id: str
@@ -89,14 +90,16 @@
     is_leaving: bool = False
 
 
-def read_call(request: httpserver.Request, names: HeaderNames) -> Call:
+def read_request_head(
+    request: httpserver.Request, names: HeaderNames
+) -> RequestHead:
     """Return the parts of the head that determine the handling.
 
     :raises BadRequest: a header is malformed.
     """
     found = _first_values(request.headers)
     host = _text(found.get(b'host', b'')).partition(':')[0]
-    return Call(
+    return RequestHead(
         _text(found.get(names.request_id, b'')),
         host,
         _text(request.path),
@@ -187,7 +190,9 @@
     return [h for h in headers if h[0].lower() not in dropped]
 
 
-def read_reply(status: int, headers: Headers, names: HeaderNames) -> ReplyHead:
+def read_reply_head(
+    status: int, headers: Headers, names: HeaderNames
+) -> ReplyHead:
     """Parse the head of a runner's response."""
     found = _first_values(headers)
     request_id = found.get(names.request_id)
@@ -205,7 +210,7 @@
     )
 
 
-def kept_s(headers: Headers) -> float | None:
+def keep_alive_s(headers: Headers) -> float | None:
     """Return the time-out of idle connections, None if not announced."""
     value = _first_values(headers).get(b'keep-alive', b'')
     for parameter in value.split(b','):
--- a/mountridge/net/lasthop.py
+++ b/mountridge/net/lasthop.py
@@ -58,7 +58,7 @@
 
     def update_idle_timeout(self, headers: Headers) -> None:
         """Apply the idle timeout that an answer announces."""
-        announced_s = dialects.kept_s(headers)
+        announced_s = dialects.keep_alive_s(headers)
         if announced_s is not None:
             self.idle_s = min(IDLE_TIMEOUT_S, announced_s - CLOSE_MARGIN_S)
 
@@ -217,7 +217,7 @@
         """Return the answer to this request, skipping earlier ones."""
         for _ in range(MAX_ANSWERS):
             status, headers = await self._read_head(connection)
-            head = dialects.read_reply(status, headers, self._names)
+            head = dialects.read_reply_head(status, headers, self._names)
             reply = Reply(connection, head, headers)
             if None in (request_id, head.request_id):
                 return reply
--- a/mountridge/routing/routefilters.py
+++ b/mountridge/routing/routefilters.py
@@ -33,7 +33,7 @@
     """
 
     def parse_request(exchange: Exchange, now_s: float) -> None:
-        call = dialects.read_call(exchange.request, names)
+        call = dialects.read_request_head(exchange.request, names)
         exchange.call = call
         if call.last_event_id is not None:
             try:
--- a/standins/engineserver.py
+++ b/standins/engineserver.py
@@ -98,7 +98,7 @@
             await httpserver.json_reply(responder, 503, {}, told)
             return
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
-        call = dialects.read_call(request, NAMES)
+        call = dialects.read_request_head(request, NAMES)
         first = int(call.last_event_id or 0)
         left = call.output_tokens - first * self.group.sheet.stride
         run = engine.Run(call.prompt_tokens, max(1, left), first)
