--- a/mountridge/net/httpserver.py
+++ b/mountridge/net/httpserver.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""HTTP/1.1 for callers: h11 on trio streams, one task a connection.
+"""HTTP/1.1 server for callers: h11 on trio streams, one task a connection.
 
-quart on hypercorn serves the gateway's own API. It can't be used on the way
-of routed requests: a caller that leaves must end the work at once, a cut
-answer must not look whole, and the limits of a connection change with the
-routes document (docs/PLATFORM.md). h11 is the parser that hypercorn uses.
+quart on hypercorn serves the gateway's own API, but can't serve routed
+requests: a disconnect must cancel the work at once, a truncated response must
+not look complete, and the limits of a connection change with the routes
+document (docs/PLATFORM.md). h11 is the parser that hypercorn uses.
 """
 
 import json
@@ -26,14 +26,14 @@
 ]  # fmt: skip
 
 READ_BYTES = 65536
-#: Bytes that a caller may send ahead while its answer is under way.
+#: Bytes that a caller may pipeline while a response is being sent.
 PIPELINE_BYTES = 1 << 20
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class Request(typing.NamedTuple):
-    """One request as it was read whole; header names as they came."""
+    """One complete request; header names are as received."""
 
     method: bytes
     target: bytes
@@ -54,7 +54,7 @@
 
 
 class Responder:
-    """The answer to one request: whole, or a head and pieces."""
+    """Sends the response to one request, complete or as a stream."""
 
     def __init__(self, http: h11.Connection, stream, closing: bool, idle_s):
         self._http = http
@@ -70,25 +70,25 @@
         return [(b'Keep-Alive', b'timeout=%d' % self._idle_s)]
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head; the framing follows from ``headers``."""
+        """Send the head; ``headers`` determine the framing of the body."""
         self.started = True
         fields = headers + self._persistence()
         head = h11.Response(status_code=status, headers=fields)
         await self._stream.send_all(self._http.send(head))
 
     async def send(self, data: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a chunk of the body."""
         await self._stream.send_all(self._http.send(h11.Data(data)))
 
     async def finish(self) -> None:
-        """Send the explicit end of the body."""
+        """Send the end of the body."""
         self.finished = True
         await self._stream.send_all(self._http.send(h11.EndOfMessage()))
 
     async def send_whole(
         self, status: int, headers: Headers, body: bytes
     ) -> None:
-        """Send a whole answer in one write."""
+        """Send a complete response in one write."""
         self.started = True
         self.finished = True
         length = (b'Content-Length', b'%d' % len(body))
@@ -108,14 +108,14 @@
     body: typing.Any,
     headers: Headers | None = None,
 ) -> None:
-    """Answer with a JSON body."""
-    kind = (b'Content-Type', b'application/json')
+    """Send a response with a JSON body."""
+    content_type = (b'Content-Type', b'application/json')
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    await responder.send_whole(status, [kind] + (headers or []), data)
+    await responder.send_whole(status, [content_type] + (headers or []), data)
 
 
 async def refuse(responder: Responder, problem: errors.MountridgeError):
-    """Answer with an error's status, code and time to come back."""
+    """Send an error response: status, code and when to retry."""
     fields: Headers = []
     if problem.retry_after_s is not None:
         fields.append((b'Retry-After', b'%.3f' % problem.retry_after_s))
@@ -130,15 +130,15 @@
     await json_reply(responder, problem.status, body, fields)
 
 
-class _Gone(Exception):
+class _Disconnected(Exception):
     """The caller has closed the connection."""
 
 
 class Server:
     """Serves one handler on one address.
 
-    ``limits`` gives the limits in force; while ``closing`` returns true,
-    each answer tells its caller to use the connection no more.
+    ``limits`` returns the limits in force. While ``closing`` returns true,
+    each response closes its connection.
     """
 
     def __init__(
@@ -154,18 +154,18 @@
         self.open_requests = 0
 
     async def run(
-        self, address: str, early: socket.socket | None = None
+        self, address: str, listening_socket: socket.socket | None = None
     ) -> None:
         """Serve on IP:PORT until cancelled.
 
-        ``early`` is a socket that listens there already.
+        ``listening_socket`` is already bound to that address.
         """
-        made = early or listening.listen(address)
-        listener = trio.SocketListener(trio.socket.from_stdlib_socket(made))
+        bound = listening_socket or listening.listen(address)
+        listener = trio.SocketListener(trio.socket.from_stdlib_socket(bound))
         await trio.serve_listeners(self.serve_connection, [listener])
 
     def close_idle(self) -> None:
-        """Close the connections on which no request is under way."""
+        """Close the connections with no request in progress."""
         for scope in list(self._idle):
             scope.cancel()
 
@@ -173,8 +173,12 @@
         """Serve the requests of one connection until it ends."""
         try:
             await self._serve_requests(stream)
-        except* (trio.BrokenResourceError, trio.ClosedResourceError, _Gone):
-            # The caller has left; what it asked for has been cancelled.
+        except* (
+            trio.BrokenResourceError,
+            trio.ClosedResourceError,
+            _Disconnected,
+        ):
+            # The caller has disconnected; its request has been cancelled.
             pass
         except* Exception as group:
             logger.error('request failed unexpectedly', exc_info=group)
@@ -192,7 +196,7 @@
             try:
                 request = await self._read(http, stream, limits)
             except errors.MountridgeError as problem:
-                await self._refuse_unread(http, stream, problem)
+                await self._reject_unread(http, stream, problem)
                 return
             if request is None:
                 return
@@ -208,20 +212,20 @@
                 return
             http.start_next_cycle()
 
-    async def _refuse_unread(self, http, stream, problem) -> None:
+    async def _reject_unread(self, http, stream, problem) -> None:
         responder = Responder(http, stream, True, 0)
         try:
             await refuse(responder, problem)
         except h11.LocalProtocolError:
-            # No answer can be framed on this connection any more.
+            # The protocol state of the connection allows no response.
             return
 
     async def _read(
         self, http: h11.Connection, stream, limits: routes.Limits
     ) -> Request | None:
-        """Return the next whole request; None where the caller is done.
+        """Return the next complete request, None at the connection's end.
 
-        :raises BadRequest: malformed, too large, or too slow.
+        :raises BadRequest: the request is malformed, too large or too slow.
         """
         head = await self._read_head(http, stream, limits)
         if head is None:
@@ -229,9 +233,9 @@
         body = b''
         while True:
             with trio.move_on_after(limits.idle_ms / 1000) as scope:
-                event = await self._event(http, stream)
+                event = await self._next_event(http, stream)
             if scope.cancelled_caught:
-                raise errors.TooSlow('the body stopped arriving')
+                raise errors.TooSlow('time-out while reading the body')
             if isinstance(event, h11.EndOfMessage):
                 break
             body += event.data
@@ -248,18 +252,18 @@
         ):
             return None
         with trio.move_on_after(limits.header_ms / 1000) as scope:
-            event = await self._event(http, stream)
+            event = await self._next_event(http, stream)
         if scope.cancelled_caught:
-            raise errors.TooSlow('the head did not arrive in time')
+            raise errors.TooSlow('time-out while reading the head')
         if not isinstance(event, h11.Request):
             return None
-        # The parser bounds a head only while it is incomplete.
+        # The parser limits the size of a head only while it is incomplete.
         if _head_bytes(event) > limits.header_bytes:
             raise errors.HeadTooLarge(f'over {limits.header_bytes} bytes')
         return event
 
     async def _wait_for_bytes(self, http, stream, idle_s: float) -> bool:
-        """Return whether bytes came before the connection ended."""
+        """Return whether data arrived before a time-out or the end."""
         data = b''
         with trio.move_on_after(idle_s) as scope:
             self._idle.add(scope)
@@ -272,48 +276,50 @@
         http.receive_data(data)
         return True
 
-    async def _event(self, http: h11.Connection, stream) -> typing.Any:
-        """Return the next event of the request under way."""
+    async def _next_event(self, http: h11.Connection, stream) -> typing.Any:
+        """Return the next event of the current request."""
         try:
             while True:
                 event = http.next_event()
                 if event is not h11.NEED_DATA:
                     break
                 if http.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(
+                    interim = h11.InformationalResponse(
                         status_code=100, headers=[]
                     )
-                    await stream.send_all(http.send(go_on))
+                    await stream.send_all(http.send(interim))
                 http.receive_data(await stream.receive_some(READ_BYTES))
         except h11.RemoteProtocolError as problem:
             if problem.error_status_hint == 431:
                 raise errors.HeadTooLarge()
             raise errors.BadRequest(str(problem))
         if isinstance(event, h11.ConnectionClosed):
-            raise _Gone()
+            raise _Disconnected()
         return event
 
     async def _handle(
         self, http, stream, request: Request, responder: Responder
     ) -> None:
-        """Run the handler; cancel it where the caller leaves."""
+        """Run the handler; cancel it if the caller disconnects."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_watch, http, stream, nursery.cancel_scope)
+            nursery.start_soon(
+                _cancel_on_disconnect, http, stream, nursery.cancel_scope
+            )
             await self._handler(request, responder)
             nursery.cancel_scope.cancel()
 
 
 def _head_bytes(head: h11.Request) -> int:
-    """Return the size of a request's head as it came, near enough."""
+    """Return the approximate size of a request's head as received."""
     fields = head.headers.raw_items()
     size = sum(len(name) + len(value) + 4 for name, value in fields)
     return size + len(head.method) + len(head.target)
 
 
-async def _watch(http, stream, scope: trio.CancelScope) -> None:
-    """Cancel ``scope`` when the caller closes; keep what it sends ahead."""
-    ahead = 0
-    while ahead < PIPELINE_BYTES:
+async def _cancel_on_disconnect(http, stream, scope: trio.CancelScope) -> None:
+    """Cancel ``scope`` on a disconnect; buffer pipelined requests."""
+    buffered = 0
+    while buffered < PIPELINE_BYTES:
         try:
             data = await stream.receive_some(READ_BYTES)
         except trio.BrokenResourceError:
@@ -321,7 +327,7 @@
         if not data:
             scope.cancel()
             return
-        ahead += len(data)
+        buffered += len(data)
         http.receive_data(data)
 
 
@@ -329,9 +335,9 @@
     """Return the task that serves an application's metrics as text."""
 
     async def answer(request: Request, responder: Responder) -> None:
-        kind = (b'Content-Type', b'text/plain; version=0.0.4')
+        content_type = (b'Content-Type', b'text/plain; version=0.0.4')
         body = app.metrics.text().encode()
-        await responder.send_whole(200, [kind], body)
+        await responder.send_whole(200, [content_type], body)
 
     async def serve() -> None:
         address = app.settings['metrics']
