--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -465,7 +465,7 @@
 class _Responder:
     """Keeps the answer to a call."""
 
-    async def send_whole(self, status, headers, body):
+    async def send_response(self, status, headers, body):
         self.status, self.body = status, json.loads(body)
 
 
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -81,7 +81,7 @@
 @when('a server is run on that socket')
 def run_server(context):
     async def answer(request, responder):
-        await responder.send_whole(200, [], b'whole')
+        await responder.send_response(200, [], b'whole')
 
     async def serve():
         server = httpserver.Server(answer, routes.Limits, lambda: True)
--- a/features/worlds/answers.py
+++ b/features/worlds/answers.py
@@ -11,7 +11,7 @@
     started = False
     status, headers, body = 0, {}, b''
 
-    async def send_whole(self, status, headers, body):
+    async def send_response(self, status, headers, body):
         self.status, self.headers, self.body = status, dict(headers), body
 
 
--- a/mountridge/net/httpserver.py
+++ b/mountridge/net/httpserver.py
@@ -21,8 +21,8 @@
 from mountridge.net import listening
 
 __all__ = [
-    'Handler', 'Request', 'Responder', 'Server', 'json_reply',
-    'metrics_task', 'refuse',
+    'Handler', 'Request', 'Responder', 'Server', 'metrics_task',
+    'send_error', 'send_json',
 ]  # fmt: skip
 
 READ_BYTES = 65536
@@ -85,7 +85,7 @@
         self.finished = True
         await self._stream.send_all(self._http.send(h11.EndOfMessage()))
 
-    async def send_whole(
+    async def send_response(
         self, status: int, headers: Headers, body: bytes
     ) -> None:
         """Send a complete response in one write."""
@@ -102,7 +102,7 @@
 Handler = typing.Callable[[Request, Responder], typing.Awaitable[None]]
 
 
-async def json_reply(
+async def send_json(
     responder: Responder,
     status: int,
     body: typing.Any,
@@ -111,10 +111,12 @@
     """Send a response with a JSON body."""
     content_type = (b'Content-Type', b'application/json')
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    await responder.send_whole(status, [content_type] + (headers or []), data)
+    await responder.send_response(
+        status, [content_type] + (headers or []), data
+    )
 
 
-async def refuse(responder: Responder, problem: errors.MountridgeError):
+async def send_error(responder: Responder, problem: errors.MountridgeError):
     """Send an error response: status, code and when to retry."""
     fields: Headers = []
     if problem.retry_after_s is not None:
@@ -127,7 +129,7 @@
             'outcome': problem.outcome,
         }
     }
-    await json_reply(responder, problem.status, body, fields)
+    await send_json(responder, problem.status, body, fields)
 
 
 class _Disconnected(Exception):
@@ -215,7 +217,7 @@
     async def _reject_unread(self, http, stream, problem) -> None:
         responder = Responder(http, stream, True, 0)
         try:
-            await refuse(responder, problem)
+            await send_error(responder, problem)
         except h11.LocalProtocolError:
             # The protocol state of the connection allows no response.
             return
@@ -337,7 +339,7 @@
     async def answer(request: Request, responder: Responder) -> None:
         content_type = (b'Content-Type', b'text/plain; version=0.0.4')
         body = app.metrics.text().encode()
-        await responder.send_whole(200, [content_type], body)
+        await responder.send_response(200, [content_type], body)
 
     async def serve() -> None:
         address = app.settings['metrics']
--- a/mountridge/routing/entryapi.py
+++ b/mountridge/routing/entryapi.py
@@ -166,22 +166,22 @@
 
     async def readiness(request, responder) -> None:
         status = 200 if entry.is_ready() else 503
-        await httpserver.json_reply(responder, status, {})
+        await httpserver.send_json(responder, status, {})
 
     async def directory(request, responder) -> None:
         addresses = entry.addresses()
         ttl_s = entry.settings['address_ttl_s']
         body = names.write_addresses(addresses, ttl_s)
         status = 200 if addresses else 503
-        await httpserver.json_reply(responder, status, body)
+        await httpserver.send_json(responder, status, body)
 
     async def control(request, responder) -> None:
         try:
             body = await _control(entry, names, request)
         except errors.MountridgeError as problem:
-            await httpserver.refuse(responder, problem)
+            await httpserver.send_error(responder, problem)
             return
-        await httpserver.json_reply(responder, 200, body)
+        await httpserver.send_json(responder, 200, body)
 
     return Handlers(readiness, control, directory)
 
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -139,7 +139,7 @@
         if problem.status in (429, 503) and problem.retry_after_s is None:
             base_s = RETRY_AFTER_S.get(type(problem), DEFAULT_RETRY_AFTER_S)
             problem.retry_after_s = utils.spread(base_s, self.rng)
-        await httpserver.refuse(exchange.responder, problem)
+        await httpserver.send_error(exchange.responder, problem)
 
     def _log_request(
         self,
--- a/mountridge/routing/routedanswers.py
+++ b/mountridge/routing/routedanswers.py
@@ -61,7 +61,7 @@
     """Send an answer whose body is complete."""
     exchange.first_data_s = now_s
     exchange.status = answer.status
-    await exchange.responder.send_whole(*answer)
+    await exchange.responder.send_response(*answer)
 
 
 async def _forward_stream(
--- a/standins/engineserver.py
+++ b/standins/engineserver.py
@@ -83,11 +83,11 @@
                 order = _ORDER.decode(request.body)
                 self.group.follow(number, order, trio.current_time())
             except errors.RefusedChange as problem:
-                await httpserver.refuse(responder, problem)
+                await httpserver.send_error(responder, problem)
                 return
         named = [(NAMES.instance_id, b'i-%d' % number)]
         data = msgspec.json.encode(body)
-        await httpserver.json_reply(responder, 200, data, named)
+        await httpserver.send_json(responder, 200, data, named)
 
     async def _serve(self, number: int, request, responder) -> None:
         rank = self.group.ranks[number]
@@ -95,7 +95,7 @@
         told = [(NAMES.request_id, request_id)]
         if len(rank.waiting) >= 2 * self.group.sheet.slots:
             told.append((NAMES.not_run, b'1'))
-            await httpserver.json_reply(responder, 503, {}, told)
+            await httpserver.send_json(responder, 503, {}, told)
             return
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
         call = dialects.read_request_head(request, NAMES)
@@ -120,7 +120,7 @@
     async def _stream(self, number: int, run, responder, told) -> None:
         fails = self.faults[number]
         if self.rng.random() < fails.errors:
-            await httpserver.json_reply(responder, 500, {}, told)
+            await httpserver.send_json(responder, 500, {}, told)
             return
         cut = self.rng.random() < fails.cut
         kind = (b'Content-Type', b'text/event-stream')
@@ -169,7 +169,7 @@
             await trio.sleep_forever()
         status = 500 if self.rng.random() < self.faults.errors else 200
         body = {'by': self.number, 'path': request.path.decode()}
-        await httpserver.json_reply(responder, status, body, told)
+        await httpserver.send_json(responder, status, body, told)
 
 
 def heartbeat(
--- a/tools/soak/words.py
+++ b/tools/soak/words.py
@@ -74,12 +74,12 @@
         """Begin an answer."""
         await self._inner.start(status, [*headers, (NAMES.leaving, b'1')])
 
-    async def send_whole(
+    async def send_response(
         self, status: int, headers: dialects.Headers, body: bytes
     ) -> None:
         """Send a whole answer."""
         told = [*headers, (NAMES.leaving, b'1')]
-        await self._inner.send_whole(status, told, body)
+        await self._inner.send_response(status, told, body)
 
 
 async def turn_away(
@@ -91,4 +91,4 @@
         (NAMES.not_run, b'1'),
         (b'Retry-After', b'%g' % rest_s),
     ]
-    await httpserver.json_reply(responder, 503, {}, told)
+    await httpserver.send_json(responder, 503, {}, told)
