--- a/features/steps/fault_steps.py
+++ b/features/steps/fault_steps.py
@@ -198,7 +198,7 @@
 @when('a process with an unknown key requests the state of "{name}"')
 def use_unknown_key(context, name):
     made = context.cluster
-    keys.make(str(made.folder / 'foreign'), ['stranger'])
+    keys.create_key_pairs(str(made.folder / 'foreign'), ['stranger'])
     for path in (made.folder / 'keys').glob('*.key'):
         shutil.copy(path, made.folder / 'foreign')
     made.add('gateway', 'stranger')
--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -240,7 +240,7 @@
     one is an error; the names before it have their keys by then.
     """
     try:
-        for path in keys.make(folder, list(names)):
+        for path in keys.create_key_pairs(folder, list(names)):
             click.echo(path.name)
     except errors.MountridgeError as problem:
         clitools.fail(problem)
--- a/mountridge/net/keys.py
+++ b/mountridge/net/keys.py
@@ -17,10 +17,13 @@
 
 from mountridge import errors
 
-__all__ = ['guard_client', 'guard_server', 'make', 'serve_authentication']
+__all__ = [
+    'create_key_pairs', 'secure_client', 'secure_server',
+    'serve_authentication',
+]  # fmt: skip
 
 
-def make(folder: str, names: list[str]) -> list[pathlib.Path]:
+def create_key_pairs(folder: str, names: list[str]) -> list[pathlib.Path]:
     """Create a key pair for each name and return the new files.
 
     :raises BadSettings: a secret key of that name exists.
@@ -53,7 +56,7 @@
     socket.curve_secretkey = secret
 
 
-def guard_server(socket: zmq.Socket, settings: dict) -> None:
+def secure_server(socket: zmq.Socket, settings: dict) -> None:
     """Accept only clients with a known key on ``socket``."""
     if settings['keys']['off']:
         return
@@ -62,7 +65,7 @@
     socket.zap_domain = b'mountridge'
 
 
-def guard_client(socket: zmq.Socket, settings: dict, peer: str) -> None:
+def secure_client(socket: zmq.Socket, settings: dict, peer: str) -> None:
     """Let ``socket`` connect only to a server with the key of ``peer``."""
     if settings['keys']['off']:
         return
--- a/mountridge/net/sockets.py
+++ b/mountridge/net/sockets.py
@@ -97,7 +97,7 @@
     _common(socket, settings)
     socket.setsockopt(zmq.ROUTER_MANDATORY, 1)
     socket.setsockopt(zmq.ROUTER_HANDOVER, 1)
-    keys.guard_server(socket, settings)
+    keys.secure_server(socket, settings)
     socket.bind(settings['bind'])
     return Channel(socket)
 
@@ -117,7 +117,7 @@
     socket = context.socket(zmq.DEALER)
     socket.setsockopt(zmq.ROUTING_ID, identity.encode())
     _common(socket, settings)
-    keys.guard_client(socket, settings, peer)
+    keys.secure_client(socket, settings, peer)
     socket.connect(address)
     return Channel(socket)
 
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -92,7 +92,7 @@
             own = {'data': str(self.folder / f'data-{name}'), **own}
         folder = str(self.folder / 'keys')
         if not self.keys_off and name not in self.settings:
-            keys.make(folder, [name])
+            keys.create_key_pairs(folder, [name])
         self.settings[name] = {
             'role': role,
             'name': name,
