--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -72,7 +72,7 @@
                 app.settings['hall'],
                 bounds['cold_over'],
                 bounds['cold_slack'],
-                listening.BEGAN_S,
+                listening.PROCESS_START_S,
                 app.settings['lease']['lease_s'],
             ),
         )
