--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -365,7 +365,7 @@
     def now_s(self):
         return trio.current_time()
 
-    def connect(self, address, peer, on_message=None, on_heard=None):
+    def connect(self, address, peer, on_message=None, on_received=None):
         app = self
 
         class Caller:
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -38,8 +38,8 @@
     def now_s(self):
         return trio.current_time()
 
-    def connect(self, address, peer, on_message=None, on_heard=None):
-        self.heard[peer] = on_heard
+    def connect(self, address, peer, on_message=None, on_received=None):
+        self.heard[peer] = on_received
         return types.SimpleNamespace(
             call=lambda message, timeout_s, late=None: self._answer(
                 peer, timeout_s
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -58,7 +58,7 @@
     def start_task(self, task, *args):
         self.nursery.start_soon(task, *args)
 
-    def connect(self, address, peer, on_message=None, on_heard=None):
+    def connect(self, address, peer, on_message=None, on_received=None):
         self.open.add(address)
 
         async def call(message, timeout_s, late=None):
--- a/mountridge/application.py
+++ b/mountridge/application.py
@@ -106,11 +106,11 @@
         address: str,
         peer: str,
         on_message: typing.Callable[[typing.Any], None] | None = None,
-        on_heard: typing.Callable[[], None] | None = None,
-    ) -> sockets.Caller:
+        on_received: typing.Callable[[], None] | None = None,
+    ) -> sockets.Connection:
         """Return a running connection to the process ``peer``."""
         channel = self.open_dealer(address, peer)
-        caller = sockets.Caller(channel, on_message, on_heard)
+        caller = sockets.Connection(channel, on_message, on_received)
         self.start_task(caller.run)
         return caller
 
--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -83,7 +83,7 @@
         self.disk = storage.Storage(self._settings['data'])
         self.node = self._make_node()
         self.applied = self.node.commit
-        self._peers: dict[str, tuple[str, sockets.Caller]] = {}
+        self._peers: dict[str, tuple[str, sockets.Connection]] = {}
         #: Where those that wrote to this replica take answers, by id.
         self._senders: dict[str, str] = {}
         self._events: list[typing.Any] = []
--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -226,7 +226,7 @@
 
     async def tell_seeds(self) -> None:
         """While leading, tell the seeds who the controllers are."""
-        callers: dict[str, sockets.Caller] = {}
+        callers: dict[str, sockets.Connection] = {}
         while True:
             await trio.sleep(TELL_S)
             if not self.replica.lease_valid():
--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -48,7 +48,7 @@
         self.attempts = attempts.Attempts(app.metrics.incr)
         self.budget = retries.Budget(self.settings['retry_share'])
         self.rng = random.Random(app.incarnation)
-        self._connections: dict[str, tuple[str, sockets.Caller]] = {}
+        self._connections: dict[str, tuple[str, sockets.Connection]] = {}
         self._prefixes: collections.OrderedDict[str, str] = (
             collections.OrderedDict()
         )
@@ -101,7 +101,7 @@
                 self.runners.record_failure(name, now_s)
                 self.attempts.fail_agent(name, 'unresponsive')
 
-    def _connection(self, name: str) -> sockets.Caller:
+    def _connection(self, name: str) -> sockets.Connection:
         """Return the connection to an agent, opening it if necessary."""
         member = self.runners.states[name].member
         found = self._connections.get(name)
--- a/mountridge/net/sockets.py
+++ b/mountridge/net/sockets.py
@@ -2,9 +2,9 @@
 
 """ZeroMQ sockets on trio, each owned by one task, and calls over them.
 
-`pyzmq` has no trio support. The socket's descriptor only signals an edge,
-and a send may use up the edge that announced a message, so each send looks
-at the pending events again and wakes the receiver where it must.
+`pyzmq` has no trio support. The socket's descriptor is edge-triggered, and a
+send may consume the edge of a received message. So each send checks the
+pending events again and wakes the receiver if necessary.
 """
 
 import typing
@@ -15,26 +15,22 @@
 from mountridge import errors, messages
 from mountridge.net import keys
 
-__all__ = ['Caller', 'Channel', 'router', 'dealer']
+__all__ = ['Channel', 'Connection', 'dealer', 'router']
 
-#: Messages that may wait for one peer before more are refused.
+#: Messages queued for one peer before more are rejected.
 HIGH_WATER = 10000
-#: A peer that is silent for this long is taken as gone by the transport, and
-#: is connected to anew. Well below the 3 s after a cut by which operators
-#: expect a box to be up to date. How long a busy process pauses was not
-#: measured; what a connection loses that ends for nothing, calls repeat.
+#: The transport reconnects to a peer that was unresponsive for this long.
+#: Well below 3 s, within which boxes must be up to date after a network
+#: partition. Calls repeat what a closed connection has lost.
 HEARTBEAT_MS = 1000
-#: A connection that is not made by then is begun anew. Behind a cut the
-#: system repeats the opening packet after 1, 2 and 4 s only, so that a box
-#: would stay away for seconds after the cut has healed. Above a few round
-#: trips between regions.
+#: Time-out of an attempt to connect: a few round trips between regions. After
+#: a network partition the kernel would repeat the SYN only after 1, 2 and 4 s.
 CONNECT_MS = 400
-#: Pauses between attempts to connect: the first, and the longest. A process
-#: takes 0.2 to 0.5 s to start.
+#: Shortest and longest pause between attempts to connect.
 RECONNECT_MS = 50
 RECONNECT_MAX_MS = 400
-#: Messages received before other tasks have a turn.
-TURN = 16
+#: Messages received before other tasks may run.
+MESSAGES_PER_TURN = 16
 
 
 class Channel:
@@ -47,7 +43,7 @@
         self._received = 0
 
     def send(self, parts: list[bytes]) -> bool:
-        """Send without waiting; false where the peer can't take it."""
+        """Send without waiting; return false if the queue is full."""
         try:
             self.socket.send_multipart(parts, zmq.NOBLOCK, copy=True)
         except zmq.ZMQError:
@@ -59,8 +55,8 @@
     async def receive(self) -> list[zmq.Frame]:
         """Return the parts of the next message."""
         self._received += 1
-        if self._received % TURN == 0:
-            # With messages always waiting no other task would have a turn.
+        if self._received % MESSAGES_PER_TURN == 0:
+            # Lets other tasks run even if messages are always available.
             await trio.lowlevel.checkpoint()
         while not self.closed:
             try:
@@ -72,14 +68,14 @@
         return []
 
     def close(self) -> None:
-        """Close the socket at once; a receiver then gets no parts."""
+        """Close the socket at once; the receiver then gets no parts."""
         self.closed = True
         if self._scope:
             self._scope.cancel()
         self.socket.close(linger=0)
 
 
-def _common(socket: zmq.Socket, settings: dict) -> None:
+def _set_options(socket: zmq.Socket, settings: dict) -> None:
     socket.setsockopt(zmq.LINGER, 0)
     socket.setsockopt(zmq.SNDHWM, HIGH_WATER)
     socket.setsockopt(zmq.RCVHWM, HIGH_WATER)
@@ -92,9 +88,9 @@
 
 
 def router(context: zmq.Context, settings: dict) -> Channel:
-    """Return the bound channel on which a process takes messages."""
+    """Return the bound channel on which a process receives messages."""
     socket = context.socket(zmq.ROUTER)
-    _common(socket, settings)
+    _set_options(socket, settings)
     socket.setsockopt(zmq.ROUTER_MANDATORY, 1)
     socket.setsockopt(zmq.ROUTER_HANDOVER, 1)
     keys.secure_server(socket, settings)
@@ -111,35 +107,35 @@
 ) -> Channel:
     """Return a channel connected to the process ``peer`` at ``address``.
 
-    ``identity`` stays the same when the connection is made anew, so that
-    replies still find their way.
+    ``identity`` stays the same after a reconnect, so that replies are still
+    delivered.
     """
     socket = context.socket(zmq.DEALER)
     socket.setsockopt(zmq.ROUTING_ID, identity.encode())
-    _common(socket, settings)
+    _set_options(socket, settings)
     keys.secure_client(socket, settings, peer)
     socket.connect(address)
     return Channel(socket)
 
 
-class Caller:
-    """A connection to one peer: calls with replies, and plain sends.
+class Connection:
+    """A connection to one peer, for calls with replies and one-way messages.
 
-    ``on_message`` takes each message that is not a reply to a call;
-    ``on_heard`` is called for each message at all, late replies too.
+    ``on_message`` is called with each message that is not a reply to a call;
+    ``on_received`` is called for each message at all, delayed replies too.
     """
 
     def __init__(
         self,
         channel: Channel,
         on_message: typing.Callable[[typing.Any], None] | None = None,
-        on_heard: typing.Callable[[], None] | None = None,
+        on_received: typing.Callable[[], None] | None = None,
     ):
         self.channel = channel
         self._on_message = on_message
-        self._on_heard = on_heard
+        self._on_received = on_received
         self._seq = 0
-        self._waiting: dict[int, trio.MemorySendChannel] = {}
+        self._pending: dict[int, trio.MemorySendChannel] = {}
 
     def send(self, message: typing.Any) -> bool:
         """Send a message that has no reply."""
@@ -149,25 +145,26 @@
         self,
         message: typing.Any,
         timeout_s: float,
-        late: tuple[float, typing.Callable[[], None]] | None = None,
+        delay_callback: tuple[float, typing.Callable[[], None]] | None = None,
     ):
         """Send a message and return its reply.
 
-        ``late`` is (time in s, what is called where no reply came by then).
+        ``delay_callback`` is (time in s, function that is called if there is
+        no reply by then).
 
-        :raises NoController: no reply came in time.
+        :raises NoController: no reply arrived in time.
         :raises MountridgeError: the peer answered with a `Failure`.
         """
         self._seq += 1
         seq = self._seq
         sender, receiver = trio.open_memory_channel(1)
-        self._waiting[seq] = sender
+        self._pending[seq] = sender
         try:
             if not self.channel.send([messages.encode(message, seq)]):
-                raise errors.NoController('the connection is full')
-            reply = await _receive(receiver, timeout_s, late)
+                raise errors.NoController('the send queue is full')
+            reply = await _receive(receiver, timeout_s, delay_callback)
         finally:
-            del self._waiting[seq]
+            del self._pending[seq]
         if reply is None:
             raise errors.NoController('no reply in time')
         if isinstance(reply, messages.Failure):
@@ -187,12 +184,12 @@
                 envelope = messages.decode(memoryview(parts[-1]))
             except errors.BadMessage:
                 continue
-            if self._on_heard:
-                self._on_heard()
-            waiting = self._waiting.get(envelope.seq)
-            if waiting is not None:
+            if self._on_received:
+                self._on_received()
+            pending = self._pending.get(envelope.seq)
+            if pending is not None:
                 try:
-                    waiting.send_nowait(envelope.message)
+                    pending.send_nowait(envelope.message)
                 except (trio.WouldBlock, trio.BrokenResourceError):
                     pass
             elif envelope.seq == 0 and self._on_message:
@@ -206,15 +203,15 @@
 async def _receive(
     receiver: trio.MemoryReceiveChannel,
     timeout_s: float,
-    late: tuple[float, typing.Callable[[], None]] | None,
+    delay_callback: tuple[float, typing.Callable[[], None]] | None,
 ) -> typing.Any:
-    """Return what comes within ``timeout_s``, else None."""
-    if late is not None and late[0] < timeout_s:
-        late_s, tell = late
-        with trio.move_on_after(late_s):
+    """Return what is received within ``timeout_s``, else None."""
+    if delay_callback is not None and delay_callback[0] < timeout_s:
+        delay_s, on_delay = delay_callback
+        with trio.move_on_after(delay_s):
             return await receiver.receive()
-        tell()
-        timeout_s -= late_s
+        on_delay()
+        timeout_s -= delay_s
     with trio.move_on_after(timeout_s):
         return await receiver.receive()
     return None
--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -62,7 +62,7 @@
         self._names = {configured[name]: name for name in sorted(configured)}
         self.seeds: list[str] = []
         self.follow_seeds(app.settings)
-        self._callers: dict[str, sockets.Caller] = {}
+        self._callers: dict[str, sockets.Connection] = {}
         self._current = next(iter(self._names))
         self._silent_until_s: dict[str, float] = {}
         #: Calls that wait for an answer, with the address that is asked.
@@ -94,7 +94,7 @@
             if address not in names:
                 self._callers.pop(address).close()
 
-    def _caller(self, address: str) -> sockets.Caller:
+    def _caller(self, address: str) -> sockets.Connection:
         if address not in self._callers:
 
             def heard() -> None:
