--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The entry process: callers' requests by routes, on each entry box.
+"""The entry process, which runs on each entry box.
 
-It forwards requests, tells callers which gateways there are, and takes what
-runners and operators say to the controllers. On a box with a disk a
-controller runs in the same process.
+It forwards callers' requests by routes, lists the gateways for callers, and
+relays reports of runners and orders of operators to the controllers. On a
+box with a disk a controller runs in the same process.
 """
 
 import socket
@@ -24,30 +24,29 @@
 
 __all__ = ['Entry', 'build', 'run']
 
-#: A change of routes waits this long for its commit; the operator then
-#: sends it again. Above an election, below the 4 s that operators allow.
+#: Time-out of a change of routes, after which the operator repeats it. Above
+#: an election, below the 4 s that operators wait.
 PUT_S = 3.0
-#: A heartbeat that is not taken within a second goes to another process.
+#: Below 1 s, after which a runner sends its heartbeat to another process.
 HEARTBEAT_S = 0.9
-#: Callers keep an answer for up to this many times its time to live.
-KEPT_TTLS = 3
-#: Most of a planned stop that new requests are taken in; the rest is for
-#: answers. On a busy played day streams took 1.7 s on average, and 95 in 100
-#: of them less than 4.0 s.
-KEPT_PART = 0.4
+#: Callers cache the list of gateways for up to this many times its TTL.
+CACHED_TTLS = 3
+#: Largest fraction of a planned stop in which new requests are accepted; the
+#: rest is for their responses.
+ACCEPT_FRACTION = 0.4
 DRAIN_POLL_S = 0.05
-#: Bytes that a log line shows of the id of a malformed word.
+#: Bytes of the id in a malformed message that are logged.
 LOGGED_BYTES = 64
-#: Left of the time that a planned stop may take, for closing down.
-GRACE_LEFT_S = 0.5
+#: Reserve for the shutdown within the time of a planned stop.
+SHUTDOWN_RESERVE_S = 0.5
 
 
-#: Reaches the engine at an address.
+#: Returns a client of the engine at an address.
 Connect = typing.Callable[[application.Application, str], sidecar.Engine]
 
 
 class Entry:
-    """State of the entry process, and what it does for callers."""
+    """State of the entry process, and the operations of its HTTP API."""
 
     def __init__(
         self,
@@ -60,7 +59,7 @@
         self._connect = connect
         self.settings = app.settings['entry']
         self.held = leases.HeldLease()
-        self.leader = members.Leader(app, self._pushed)
+        self.leader = members.Leader(app, self._on_push)
         self.keeper = members.LeaseKeeper(
             app, self.leader, self.held, self._renewal
         )
@@ -100,14 +99,14 @@
         self._cold = 0
 
     def make_server(self, handler: httpserver.Handler) -> httpserver.Server:
-        """Return a server under the limits and the drain of this process."""
+        """Return a server with the limits and drain state of this process."""
         return httpserver.Server(handler, self.limits, lambda: self.draining)
 
     def limits(self) -> routes.Limits:
-        """Return what callers may send, by the routes in force."""
+        """Return the limits for requests, by the routes in force."""
         return self.index.table.limits if self.index else routes.Limits()
 
-    # The view.
+    # Lease, and state derived from the view.
 
     def _renewal(self) -> messages.Renew:
         return messages.Renew(
@@ -126,60 +125,60 @@
             [],
         )
 
-    def _pushed(self, message: typing.Any) -> None:
+    def _on_push(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
             if self.held.extend(message):
                 self.keeper.nudge()
-                self.follow_view()
+                self.apply_view()
         elif isinstance(message, messages.Loads):
             now_s = self.app.now_s()
             for load in message.loads:
                 self.backends.record_report(load, now_s)
         elif isinstance(message, messages.RemoteOrder):
-            self.app.start_task(self._give_order, message)
+            self.app.start_task(self._send_order, message)
 
-    async def _give_order(self, remote: messages.RemoteOrder) -> None:
-        """Give an order in place of the box of the runner."""
+    async def _send_order(self, remote: messages.RemoteOrder) -> None:
+        """Send an order to an engine in place of its sidecar."""
         engine = self.engine(remote.instance_id)
         if engine is None:
             logger.warning('order for an unknown runner', **remote._asdict())
             return
-        told = await sidecar.follow(engine, remote.order)
-        logger.info('remote order', runner=remote.instance_id, **told)
+        fields = await sidecar.follow(engine, remote.order)
+        logger.info('remote order', runner=remote.instance_id, **fields)
 
     def engine(self, instance_id: str) -> sidecar.Engine | None:
-        """Return a way to a runner's engine, None where it is not known."""
+        """Return a client of a runner's engine, None if it is unknown."""
         backend = self.backends.by_id.get(instance_id)
         if backend is None:
             return None
         return self._connect(self.app, backend.instance.address)
 
-    def follow_view(self, *_: typing.Any, **__: typing.Any) -> None:
-        """Bring what is derived from the view up to date."""
+    def apply_view(self, *_: typing.Any, **__: typing.Any) -> None:
+        """Update the state that is derived from the view."""
         view = self.held.view
         if view.revision == self._view_revision:
             return
         self._view_revision = view.revision
-        # First, so that no request is sent by routes that are known alone.
-        self._follow_halls()
-        self._follow_quarantine()
-        self._follow_routes()
+        # Halls and quarantine come first: routes make forwarding possible.
+        self._update_halls()
+        self._update_quarantine()
+        self._update_routes()
         packed = view.under(views.INSTANCE_PREFIX)
         registered = [views.unpack_instance(v) for v in packed.values()]
         gateways = self._all_gateways()
         self.backends.update_gateways(
             {m.name: m.hall for m in gateways if m.state == 'live'}
         )
-        # Those that leave still send what they were given before.
+        # Draining gateways still send the requests accepted before.
         self.backends.warmup.update_gateways(
             {m.name: m.hall for m in gateways}, self.app.now_s()
         )
         for address in self.backends.update_runners(registered):
             self.app.start_task(self.forwarder.pool.evict, address)
-        self._tell_cold(registered)
+        self._report_cold(registered)
 
-    def _tell_cold(self, registered: list[instances.Instance]) -> None:
-        """Log and gauge how many runners are cold, where that has changed."""
+    def _report_cold(self, registered: list[instances.Instance]) -> None:
+        """Log and gauge the number of cold runners if it has changed."""
         cold = sum(
             runner.is_cold and runner.state != instances.LEFT
             for runner in registered
@@ -195,7 +194,7 @@
             index=self.held.view.index,
         )
 
-    def _follow_halls(self) -> None:
+    def _update_halls(self) -> None:
         packed = self.held.view.under(views.HALL_PREFIX)
         listed = [views.unpack_hall(value) for value in packed.values()]
         out = {state.name: state for state in listed if state.is_out}
@@ -211,21 +210,21 @@
             index=self.held.view.index,
         )
 
-    def _follow_quarantine(self) -> None:
+    def _update_quarantine(self) -> None:
         packed = self.held.view.under(views.QUARANTINE_PREFIX).values()
         listed = [views.unpack_held(value) for value in packed]
         self.crash_reporter.update(listed)
 
-    def _follow_routes(self) -> None:
-        held = views.routes_in(self.held.view)
+    def _update_routes(self) -> None:
+        newest = views.routes_in(self.held.view)
         known = self.index.table.version if self.index else 0
-        if held.version <= known:
+        if newest.version <= known:
             return
         try:
-            source = routes.decompress(held.source)
+            source = routes.decompress(newest.source)
             table = self.dialect.decode_routes(source)
         except errors.BadRoutes as problem:
-            logger.error('routes unreadable', reason=str(problem))
+            logger.error('cannot read the routes', reason=str(problem))
             return
         self.index = routes.index(table)
         self.backends.warmup.update_services(
@@ -245,24 +244,24 @@
         return [member for member in listed if member.kind == 'gateway']
 
     def gateways(self) -> list[views.Member]:
-        """Return the gateways that take requests, by the view."""
+        """Return the gateways that accept requests, by the view."""
         return [m for m in self._all_gateways() if m.state == 'live']
 
-    # What runners, operators and callers ask.
+    # Operations for runners, operators and callers.
 
     def addresses(self) -> list[str]:
-        """Return where callers may send requests."""
+        """Return the addresses to which callers may send requests."""
         return [member.http for member in self.gateways()]
 
     def is_ready(self) -> bool:
-        """Return whether requests can be served here."""
+        """Return whether this process can serve requests."""
         return self.index is not None and not self.draining
 
     async def put_routes(self, source: bytes) -> int:
-        """Offer a routes document; return the version then held.
+        """Submit a routes document; return the version stored afterwards.
 
-        :raises BadRoutes: it has errors.
-        :raises NoController: it may have been taken, or not.
+        :raises BadRoutes: the document has errors.
+        :raises NoController: it may have been stored, or not.
         """
         table = self.dialect.decode_routes(source)
         put = messages.PutRoutes(table.version, routes.compress(source))
@@ -271,9 +270,9 @@
         return reply.version
 
     async def read_routes(self) -> bytes | None:
-        """Return the newest routes document, None where there is none.
+        """Return the newest routes document, None if there is none.
 
-        :raises NoController: it can't be told what is newest.
+        :raises NoController: the newest one can't be determined.
         """
         reply = await self.leader.call(messages.ReadRoutes(), PUT_S)
         if reply.version == 0:
@@ -281,30 +280,30 @@
         return routes.decompress(reply.source)
 
     async def heartbeat(self, heartbeat: messages.Heartbeat) -> None:
-        """Take a runner's heartbeat to the leader.
+        """Send a runner's heartbeat to the leader.
 
-        :raises NoController: it may not have been taken.
+        :raises NoController: it may not have been recorded.
         """
         await self.leader.call(heartbeat, HEARTBEAT_S)
 
     async def leave(self, instance_id: str, born_ms: int) -> None:
-        """Take out a runner that says that it has left.
+        """Remove a runner that reports that it has left.
 
-        The life that is held here goes with it: one that begins meanwhile is
-        not meant.
+        The message names the incarnation known here, so that it does not
+        remove one that begins meanwhile.
 
-        :raises NoController: it may not have been taken.
-        :raises StaleHeartbeat: it may be of a life before.
+        :raises NoController: it may not have been recorded.
+        :raises StaleHeartbeat: it may be of an earlier incarnation.
         """
-        held = self.backends.by_id.get(instance_id)
-        lives = held.instance.lives if held else 0
+        known = self.backends.by_id.get(instance_id)
+        lives = known.instance.lives if known else 0
         leave = messages.Leave(instance_id, born_ms, lives)
         await self.leader.call(leave, HEARTBEAT_S)
 
     def record_malformed(
         self, raw_id: bytes, problem: errors.BadHeartbeat
     ) -> None:
-        """Count and log a word of a runner that can't be read."""
+        """Count and log a malformed message of a runner."""
         self.app.metrics.incr(f'runner.malformed.{problem.cause}')
         logger.info(
             'runner word malformed',
@@ -316,24 +315,24 @@
     async def read_halls(self) -> list[halls.HallState]:
         """Return the halls that were ever out of service.
 
-        :raises NoController: it can't be told.
+        :raises NoController: they can't be determined.
         """
         return await self.hall_orders.read()
 
     async def read_quarantine(self) -> list[quarantines.QuarantinedRequest]:
-        """Return the requests that are or were held back.
+        """Return the requests that are or were quarantined.
 
-        :raises NoController: it can't be told.
+        :raises NoController: they can't be determined.
         """
         return await self.crash_reporter.read()
 
     async def release(
         self, digest: bytes
     ) -> list[quarantines.QuarantinedRequest]:
-        """Hold a request back no more; return what else is held.
+        """End a request's quarantine; return the remaining entries.
 
         :raises NoController: it may have been carried out, or not.
-        :raises NotHeldBack: it is not known.
+        :raises NotHeldBack: the request is not known.
         """
         return await self.crash_reporter.release(digest)
 
@@ -347,44 +346,44 @@
         """
         return await self.hall_orders.set(name, is_out)
 
-    def follow_settings(self, settings: dict) -> None:
-        """Take what newer settings may change in a running process."""
+    def update_settings(self, settings: dict) -> None:
+        """Apply changed settings that a running process can adopt."""
         self.leader.follow_seeds(settings)
         self.hall_orders.update_settings(settings)
 
-    # Life.
+    # Lease and shutdown.
 
     async def hold_lease(self) -> None:
-        """Hold the lease while the process runs."""
-        signals.view_changed.connect(self.follow_view, sender=self.held)
+        """Renew the lease for ever."""
+        signals.view_changed.connect(self.apply_view, sender=self.held)
         await self.keeper.run()
 
     async def begin_drain(self) -> None:
-        """Leave the list of gateways, and be ready no more."""
+        """Report not ready, and announce the drain to the leader."""
         self.draining = True
         self._drain_began_s = self.app.now_s()
         logger.info('draining', open=self.front.open_requests)
-        self.app.start_task(self._say_leaving)
+        self.app.start_task(self._announce_drain)
 
     async def drain(self) -> None:
-        """Wait for callers that keep the address; end what runs."""
+        """Serve callers with a cached address; wait for open requests."""
         grace_s = self.app.settings['bounds']['grace_s']
-        until_s = self._drain_began_s + grace_s - GRACE_LEFT_S
-        kept_s = KEPT_TTLS * self.settings['address_ttl_s']
-        kept_s = min(kept_s, KEPT_PART * grace_s)
-        kept_until_s = self._drain_began_s + kept_s
-        await trio.sleep(max(0.0, kept_until_s - self.app.now_s()))
-        # What would come now could not be answered whole before the end.
+        until_s = self._drain_began_s + grace_s - SHUTDOWN_RESERVE_S
+        accept_s = CACHED_TTLS * self.settings['address_ttl_s']
+        accept_s = min(accept_s, ACCEPT_FRACTION * grace_s)
+        accept_until_s = self._drain_began_s + accept_s
+        await trio.sleep(max(0.0, accept_until_s - self.app.now_s()))
+        # New requests could not be completed before the end.
         self.forwarder.closed = True
         self.front.close_idle()
         while self.front.open_requests and self.app.now_s() < until_s:
             await trio.sleep(DRAIN_POLL_S)
 
-    async def _say_leaving(self) -> None:
+    async def _announce_drain(self) -> None:
         try:
             await self.leader.call(self._renewal(), PUT_S)
         except errors.MountridgeError as problem:
-            logger.warning('planned stop unheard', reason=str(problem))
+            logger.warning('cannot announce the drain', reason=str(problem))
 
     def dump(self) -> dict:
         """Return the state for `mountridge dump`."""
@@ -412,12 +411,15 @@
             'counts': dict(self.app.metrics.counts),
         }
 
-    def learn(self, peer, message: messages.Controllers) -> None:
-        """Take from the leader who the controllers are."""
+    def on_controllers(self, peer, message: messages.Controllers) -> None:
+        """Handle the leader's list of controllers."""
         self.leader.learn(message.addresses)
 
-    def refer(self, peer, message: typing.Any) -> typing.NoReturn:
-        """Answer what is for a controller: this is none, ask that one."""
+    def redirect_to_leader(self, peer, message: typing.Any) -> typing.NoReturn:
+        """Reject a message for the leader, and name it if it is known.
+
+        :raises NotLeader: always.
+        """
         problem = errors.NotLeader()
         if self.held.valid(self.app.now_s()):
             name, address = self.leader.current
@@ -425,8 +427,8 @@
         raise problem
 
 
-#: What only the leader answers.
-FOR_LEADER = (
+#: Messages that only the leader handles.
+LEADER_MESSAGES = (
     messages.Renew,
     messages.PutRoutes,
     messages.ReadRoutes,
@@ -448,19 +450,19 @@
     dialect: dialects.Dialect,
     connect: Connect,
 ) -> Entry:
-    """Return an entry whose handlers and tasks are in ``app``."""
+    """Return an entry with its handlers and tasks added to ``app``."""
     entry = Entry(app, dialect, connect)
-    for kind in FOR_LEADER:
-        app.handlers[kind] = entry.refer
-    app.handlers[messages.Controllers] = entry.learn
+    for kind in LEADER_MESSAGES:
+        app.handlers[kind] = entry.redirect_to_leader
+    app.handlers[messages.Controllers] = entry.on_controllers
     app.tasks += [entry.hold_lease, entry.crash_reporter.run]
     app.dumpers['entry'] = entry.dump
     app.drain.append(entry.begin_drain)
     if app.settings['controller']['data']:
-        # Most boxes have no disk, and start sooner by 22 modules without it.
+        # Imported here for a faster start of boxes without a disk.
         from mountridge import entrycontroller
 
-        # Leadership is handed over before the long wait for callers.
+        # Before entry.drain, so that leadership is transferred early.
         entrycontroller.add(app, entry)
     app.drain.append(entry.drain)
     return entry
@@ -469,25 +471,25 @@
 def serve(
     entry: Entry,
     handlers: entryapi.Handlers,
-    early: socket.socket | None = None,
+    listening_socket: socket.socket | None = None,
 ) -> list[typing.Callable]:
-    """Return the tasks that listen on all addresses of the settings.
+    """Return the tasks that serve on the addresses of the settings.
 
-    ``early`` is a socket that listens on the callers' address already.
+    ``listening_socket`` is already bound to the callers' address.
     """
 
     def listener(
-        place: str,
+        setting: str,
         server: httpserver.Server,
-        made: socket.socket | None = None,
+        bound: socket.socket | None = None,
     ) -> typing.Callable[[], typing.Awaitable[None]]:
         async def listen() -> None:
-            await server.run(entry.settings[place], made)
+            await server.run(entry.settings[setting], bound)
 
         return listen
 
     return [
-        listener('front', entry.front, early),
+        listener('front', entry.front, listening_socket),
         listener('readiness', entry.make_server(handlers.readiness)),
         listener('control', entry.make_server(handlers.control)),
         listener('directory', entry.make_server(handlers.directory)),
@@ -498,17 +500,19 @@
     settings: dict,
     path: str,
     dialect: dialects.Dialect = dialects.NATIVE,
-    spelling: entryapi.WireNames = entryapi.NATIVE,
+    wire_names: entryapi.WireNames = entryapi.NATIVE,
     connect: Connect = engines.connect_to,
-    early: socket.socket | None = None,
+    listening_socket: socket.socket | None = None,
 ) -> None:
     """Run an entry until it is stopped; ``path`` is its settings file.
 
-    ``early`` is a socket that listens on the callers' address already.
+    ``listening_socket`` is already bound to the callers' address.
     """
     app = application.Application(settings)
     entry = build(app, dialect, connect)
-    app.tasks += serve(entry, entryapi.handlers(entry, spelling), early)
+    app.tasks += serve(
+        entry, entryapi.handlers(entry, wire_names), listening_socket
+    )
     app.tasks.append(httpserver.metrics_task(app))
-    app.tasks.append(settingswatch.task(app, path, entry.follow_settings))
+    app.tasks.append(settingswatch.task(app, path, entry.update_settings))
     trio.run(app.run)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -783,7 +783,7 @@
     ),
     Mutant(
         'quarantine: the view of it is not followed', 'entry',
-        '        self._follow_quarantine()\n', '', 'quarantine',
+        '        self._update_quarantine()\n', '', 'quarantine',
     ),
     Mutant(
         'last hop: how long connections are kept is not heard', 'lasthop',
@@ -1190,8 +1190,8 @@
     ),
     Mutant(
         'halls: the view of halls is not followed', 'entry',
-        '        self._follow_halls()\n        self._follow_quarantine()',
-        '        self._follow_quarantine()', 'halls', 'Two halls',
+        '        self._update_halls()\n        self._update_quarantine()',
+        '        self._update_quarantine()', 'halls', 'Two halls',
     ),
     Mutant(
         'halls: a return is a wave', 'slowstart',
