--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -547,7 +547,7 @@
         assert len(json.dumps(answer.body)) < 400, answer.body
     counts = context.entry.app.metrics.counts
     assert counts == {f'runner.malformed.{cause}': 2}, counts
-    assert context.lines == 2 * ['runner word malformed'], context.lines
+    assert context.lines == 2 * ['malformed runner message'], context.lines
     assert context.world.machine.snapshot() == context.before
 
 
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -306,7 +306,7 @@
         """Count and log a malformed message of a runner."""
         self.app.metrics.incr(f'runner.malformed.{problem.cause}')
         logger.info(
-            'runner word malformed',
+            'malformed runner message',
             runner=ascii(raw_id[:LOGGED_BYTES]),
             cause=problem.cause,
             reason=str(problem),
