--- a/mountridge/entrycontroller.py
+++ b/mountridge/entrycontroller.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The controller that runs in the entry process of a box with a disk."""
+"""The controller in the entry process of a box with a disk."""
 
 import pathlib
 import typing
@@ -19,38 +19,43 @@
 __all__ = ['add']
 
 
-def _begin_storage(settings: dict) -> None:
-    """Give an empty data folder an identity.
+def _initialize_storage(settings: dict) -> None:
+    """Create the node identity and initial configuration if there are none.
 
-    At the first start of a whole system the first of the seeds founds it,
-    as the only controller; all others join.
+    At the first start of a deployment the first seed is the only voter; all
+    other controllers join it.
     """
     data = settings['controller']['data']
     if (pathlib.Path(data) / 'format').exists():
         return
     node_id = f'{settings["name"]}.{utils.fresh_id()}'
-    founds = (
+    is_first = (
         settings['entry']['founding']
         and members.seed_addresses(settings)[0] == settings['bind']
     )
     config = entries.Config({}, {})
-    if founds:
+    if is_first:
         voters = {node_id: settings['bind']}
         config = entries.Config(voters, {}, {node_id: settings['hall']})
     storage.initialize(data, node_id, config)
 
 
 def add(app: application.Application, entry: 'Entry') -> None:
-    """Let a controller run in the process of an entry.
+    """Add a controller to the process of an entry.
 
-    Its storage is made first where the data folder is empty.
+    Initializes its storage first if the data folder is empty.
     """
-    _begin_storage(app.settings)
-    made = controller.build(app)
-    made.groups.planner.offload = trio.to_thread.run_sync
+    _initialize_storage(app.settings)
+    built = controller.build(app)
+    built.groups.planner.offload = trio.to_thread.run_sync
 
-    def sheet(instance_id: str) -> mapplans.EngineParameters | None:
-        """Return what a runner's engine allows, by the routes in force."""
+    def engine_parameters(
+        instance_id: str,
+    ) -> mapplans.EngineParameters | None:
+        """Return the parameters of a runner's engine by the routes.
+
+        None if the runner is not known or its engine has no experts.
+        """
         backend = entry.backends.by_id.get(instance_id)
         if backend is None or entry.index is None:
             return None
@@ -62,15 +67,15 @@
             engine.places, engine.spare, engine.experts, engine.copy_s
         )
 
-    made.sheet = sheet
+    built.sheet = engine_parameters
 
-    def names_service(service: str) -> bool:
-        """Return whether routes name a service, or there are none yet."""
+    def is_service_allowed(service: str) -> bool:
+        """Return whether the routes name a service, or there are none yet."""
         return entry.index is None or service in entry.index.services
 
-    made.registry.names_service = names_service
+    built.registry.names_service = is_service_allowed
     app.tasks.append(
-        remoteranks.RemoteRanks(app, made.groups, entry.engine).run
+        remoteranks.RemoteRanks(app, built.groups, entry.engine).run
     )
-    formed = formation.Formation(app, made.replica, entry.leader)
+    formed = formation.Formation(app, built.replica, entry.leader)
     formation.add(app, formed)
