--- a/mountridge/remoteranks.py
+++ b/mountridge/remoteranks.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Ranks whose sidecar is silent: the leader reads and orders them itself.
+"""Calls of the leader to engines whose sidecars are unresponsive.
 
-A group waits for ever for a held pass whose rank nobody lets go, and for a
-change that one rank does not take. So while the sidecar of a rank is dead,
-frozen or cut off, the leader calls its engine over the network. What an
-engine tells from afar is some hundred milliseconds old; nothing in a change
-depends on it being newer.
+A group would wait for ever for a held step that no sidecar releases, or for a
+rank that does not carry out its part of a map change. So the leader reports
+for a rank and sends its orders over the network while its sidecar is dead,
+frozen or partitioned. State read this way may be some 100 ms old, which map
+changes tolerate.
 """
 
 import typing
@@ -20,54 +20,57 @@
 
 __all__ = ['RemoteRanks']
 
-#: A sidecar reports within 0.03 s of an order; one that is this late with
-#: that, or with a report that is due, is dead, frozen or cut off.
-SILENT_S = 0.4
-#: Between two looks at the ranks.
-LOOK_S = 0.1
+#: A sidecar is unresponsive if its report, or its reaction to an order, is
+#: overdue for this long. Sidecars report within 0.03 s of an order.
+UNRESPONSIVE_S = 0.4
+#: Interval of the checks for unresponsive sidecars.
+CHECK_S = 0.1
 
 Connect = typing.Callable[[str], sidecar.Engine | None]
 
 
 class RemoteRanks:
-    """The leader's own calls to engines, by the ids of their runners."""
+    """Calls engines in place of unresponsive sidecars."""
 
     def __init__(
         self,
         app: application.Application,
-        known: groups.Groups,
+        known_groups: groups.Groups,
         connect: Connect,
     ):
         self.app = app
-        self.known = known
+        self.groups = known_groups
         self._connect = connect
 
     async def run(self) -> None:
-        """Stand in for silent sidecars while this process leads."""
+        """Replace unresponsive sidecars while this process leads."""
         while True:
-            await trio.sleep(LOOK_S)
-            silent = self.known.unresponsive_ranks(SILENT_S, self.app.now_s())
+            await trio.sleep(CHECK_S)
+            last_reports = self.groups.unresponsive_ranks(
+                UNRESPONSIVE_S, self.app.now_s()
+            )
             async with trio.open_nursery() as nursery:
-                for report in silent:
-                    nursery.start_soon(self._report, report)
+                for last in last_reports:
+                    nursery.start_soon(self._try_update, last)
 
-    async def _report(self, last: messages.RankReport) -> None:
+    async def _try_update(self, last: messages.RankReport) -> None:
         engine = self._connect(last.instance_id)
         if engine is None:
             return
         try:
-            await self._stand_in(engine, last)
+            await self._update(engine, last)
         except errors.MountridgeError as problem:
             self.app.metrics.incr('rank.remote.failed')
             logger.debug(
-                'rank not read from afar',
+                'cannot read a rank remotely',
                 instance_id=last.instance_id,
                 reason=str(problem),
             )
 
-    async def _stand_in(
+    async def _update(
         self, engine: sidecar.Engine, last: messages.RankReport
     ) -> None:
+        """Report a rank's state to this leader, and send its next order."""
         state = await engine.state()
         experts = last.experts
         before = (last.state.map_version, last.state.born_ms)
@@ -80,7 +83,7 @@
             demand.NO_COUNTS,
             last.known_map,
         )
-        order = self.known.on_remote_report(report)
+        order = self.groups.on_remote_report(report)
         if order is not None:
-            told = await sidecar.follow(engine, order)
-            logger.info('remote order', runner=last.instance_id, **told)
+            fields = await sidecar.follow(engine, order)
+            logger.info('remote order', runner=last.instance_id, **fields)
