--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -733,7 +733,7 @@
     context.now_s += 1
     context.counted = counted
     state = ranks.RankState('g', *numbers)
-    context.choices = trio.run(context.sidecar._fresh_counts, state)
+    context.choices = trio.run(context.sidecar._new_counts, state)
 
 
 @when('the engine counts anew, 1 and 9')
--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -113,7 +113,7 @@
 
 def _push(context, packed):
     order = ranks.RankOrder(ranks.PREPARE, 1, 9, ranks.NO_VERSION, [])
-    context.sidecar.take_push(messages.RankPush(1, order, packed))
+    context.sidecar.on_push(messages.RankPush(1, order, packed))
 
     async def run():
         for task, args in context.tasks:
@@ -126,14 +126,14 @@
 @when('it receives an order to prepare a map packed against map {base:d}')
 def push_with_base(context, base):
     # As after a report: no change to report.
-    context.sidecar._told = 'told'
+    context.sidecar._reported = 'told'
     _push(context, mapdeltas.pack(context.known, base, context.known))
 
 
 @then('the order is not carried out, and the sidecar reports at once')
 def check_not_carried_out(context):
     assert not context.engine.orders
-    assert context.sidecar._told is None and context.sidecar._wake.is_set()
+    assert context.sidecar._reported is None and context.sidecar._wake.is_set()
 
 
 @when('it receives the order again with the whole map')
@@ -148,12 +148,12 @@
 
 @given('a report interval of {interval_s:g} s set by the leader')
 def set_interval(context, interval_s):
-    context.sidecar._report_s = interval_s
+    context.sidecar._interval_s = interval_s
 
 
 @when('it has just reported')
 def has_reported(context):
-    context.sidecar._told = sidecar._news(_state(0, RANKS))
+    context.sidecar._reported = sidecar._urgent_state(_state(0, RANKS))
     context.sidecar._reported_s = context.sidecar.app.now_s()
 
 
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -68,7 +68,7 @@
 
     async def _push(self, number, message):
         await trio.sleep(0.002)
-        self.world.sidecars[number].take_push(message)
+        self.world.sidecars[number].on_push(message)
 
     async def propose(self, _payload):
         await trio.sleep(0.005)
--- a/mountridge/sidecar.py
+++ b/mountridge/sidecar.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The sidecar: a small process on each runner's box.
+"""The sidecar: a small process beside each runner.
 
-It reads its engine's load and expert counts, which is free and fresh only
-from the same box, reports them to the leading controller, and carries out
-the orders that come back. It holds nothing that has to survive it.
+It reads its engine's load and expert counts, which is cheap and current only
+on the same box, reports them to the leading controller, and carries out the
+orders that the leader returns. It has no persistent state.
 """
 
 import typing
@@ -19,46 +19,45 @@
 
 __all__ = ['Engine', 'Sidecar', 'build', 'follow', 'run']
 
-#: Between two looks at the engine while a step of a change is under way
-#: there. Only what has changed is reported, so this costs the leader nothing.
-HURRY_S = 0.025
-#: How long an order is looked after in a hurry; then as a resting rank.
-HURRY_FOR_S = 1.0
-#: Between two looks while the rank waits for the pass of a new map. Reports
-#: then, and while an order is carried out, come at the interval of the
-#: settings: a leader that has just been elected finds a held pass only by
-#: them, and stands in for a rank that is silent for 0.4 s.
-ARMED_S = 0.05
-#: Counts go with reports that are this part of the usual interval apart, not
-#: with those between them: they are most of a report's bytes. The rest is
-#: for clocks and timers.
-COUNTS_PART = 0.8
-#: An order that comes again within this time, pushed and with the answer to
-#: a report, is carried out once.
-AGAIN_S = 0.05
-#: A leader that does not answer by then is looked for again.
-REPORT_S = 0.8
-#: Maps that are kept to build the next one on: the leader may not know yet
-#: that the newest has come.
+#: Interval of the engine checks while it carries out an order. Only changes
+#: are reported, so the leader has no extra load.
+FAST_CHECK_S = 0.025
+#: How long after an order the engine is checked at that interval.
+FAST_CHECK_FOR_S = 1.0
+#: Interval of the engine checks while the rank is armed. While it is armed or
+#: carries out an order, reports are at most the interval of the settings
+#: apart: a newly elected leader learns of a held step only from them, and
+#: replaces a sidecar that is unresponsive for 0.4 s.
+ARMED_CHECK_S = 0.05
+#: Counts, which are most of a report's bytes, are sent at most once per
+#: report interval. The fraction allows for early timers.
+COUNTS_FRACTION = 0.8
+#: An order that is received again within this time, pushed and in the reply
+#: to a report, is carried out once.
+DUPLICATE_S = 0.05
+#: Time-out of a report, after which the leader is determined again.
+REPORT_TIMEOUT_S = 0.8
+#: Maps kept as the base of the next one: the leader may not know yet that the
+#: newest was received.
 KEPT_MAPS = 2
-#: What the log line says of an order that the engine has taken.
-TAKEN = 'taken'
+#: Outcome, in the log, of an order that the engine has accepted.
+ACCEPTED = 'taken'
 
 
 class Engine(typing.Protocol):
-    """The engine on this box, as an adapter speaks with it."""
+    """Client of an engine, implemented by an adapter."""
 
     async def state(self) -> ranks.RankState:
-        """Return its state now."""
+        """Return the engine's current state."""
 
     async def counts(self) -> list[int]:
         """Return how often each expert was chosen since the epoch began."""
 
     async def experts(self) -> list[list[int]]:
-        """Return the experts that it holds, by set of layers."""
+        """Return the experts that the engine holds, by set of layers."""
 
     async def instance_id(self) -> str:
-        """Return the id under which its runner is registered."""
+        """Return the id under which the engine's runner is registered."""
 
     async def follow(self, order: ranks.RankOrder) -> None:
         """Carry out an order.
@@ -69,10 +68,10 @@
 
 
 async def follow(engine: Engine, order: ranks.RankOrder) -> dict:
-    """Give an order to an engine; return what the log line tells of it."""
+    """Send an order to an engine; return the fields for the log."""
     try:
         await engine.follow(order)
-        outcome = TAKEN
+        outcome = ACCEPTED
     except errors.RefusedChange as problem:
         outcome = f'refused: {problem}'
     except errors.OutcomeUnknown as problem:
@@ -88,8 +87,8 @@
     }
 
 
-class _News(typing.NamedTuple):
-    """What of an engine's state the leader is told of at once."""
+class _UrgentState(typing.NamedTuple):
+    """Parts of an engine's state of which each change is reported at once."""
 
     epoch: int
     is_open: bool
@@ -98,11 +97,11 @@
     armed: int
     armed_step: int
     held_step: int
-    pace: int  # in whole multiples of the usual
+    slowdown: int  # step time as a whole multiple of the usual one
 
 
-def _news(state: ranks.RankState) -> _News:
-    return _News(
+def _urgent_state(state: ranks.RankState) -> _UrgentState:
+    return _UrgentState(
         state.epoch,
         state.is_open,
         state.map_version,
@@ -115,85 +114,85 @@
 
 
 class Sidecar:
-    """Reports one engine and follows the leader's orders."""
+    """Reports one engine's state and carries out the leader's orders."""
 
     def __init__(self, app: application.Application, engine: Engine):
         self.app = app
         self.engine = engine
-        self.leader = members.Leader(app, self.take_push)
-        self._usual_s = app.settings['sidecar']['report_s']
-        self._report_s = self._usual_s
+        self.leader = members.Leader(app, self.on_push)
+        self._default_interval_s = app.settings['sidecar']['report_s']
+        self._interval_s = self._default_interval_s
         self._instance_id = ''
         self._epoch = ranks.NO_VERSION
-        #: Start of the engine; a later one has forgotten what it was told.
+        #: Start time of the engine: a restart resets its counts and orders.
         self._born_ms = 0
         self._counts: list[int] = []
         self._counted_s = float('-inf')
         self._map_version = ranks.NO_VERSION
         self._experts: list[list[int]] = []
-        #: Whether the leader may not know what the rank holds.
-        self._tell_experts = True
-        self._tell_counts = True
+        #: Whether the leader may not know the rank's experts.
+        self._send_experts = True
+        self._send_counts = True
         self._fence = 0
-        #: Whether the leader wants to know each pass.
-        self._watched = False
-        self._told: _News | None = None
+        #: Whether to report after each forward pass.
+        self._report_each_step = False
+        self._reported: _UrgentState | None = None
         self._reported_s = float('-inf')
         #: The order carried out last, and when.
         self._order = (ranks.NO_ORDER, float('-inf'))
-        #: The newest maps that came, by version, the newest last.
+        #: Maps by version, in the order in which they were received.
         self._maps: dict[int, ranks.Placement] = {}
         self._wake = trio.Event()
 
     async def run(self) -> None:
-        """Look at the engine for ever, and report what is due."""
+        """Check the engine and report its state for ever."""
         while True:
             began_s = self.app.now_s()
-            rest_s = self._usual_s
+            pause_s = self._default_interval_s
             try:
-                rest_s = await self._look()
+                pause_s = await self._check()
             except errors.MountridgeError as problem:
                 self.app.metrics.incr(f'report.failed.{problem.code}')
-                logger.debug('no report', reason=str(problem))
+                logger.debug('report failed', reason=str(problem))
             took_s = self.app.now_s() - began_s
-            with trio.move_on_after(max(HURRY_S / 2, rest_s - took_s)):
+            with trio.move_on_after(max(FAST_CHECK_S / 2, pause_s - took_s)):
                 await self._wake.wait()
             self._wake = trio.Event()
 
-    async def _look(self) -> float:
-        """Read the engine, report what is due, return how long to rest."""
+    async def _check(self) -> float:
+        """Report the engine's state if due; return when to check again."""
         state = await self.engine.state()
-        await self._follow_epoch(state)
+        await self._update_epoch(state)
         if self._is_due(state, self.app.now_s()):
             await self._report(state)
-        return self._rest_s(state, self.app.now_s())
+        return self._pause_s(state, self.app.now_s())
 
     def _is_due(self, state: ranks.RankState, now_s: float) -> bool:
-        if self._watched or _news(state) != self._told:
+        if self._report_each_step or _urgent_state(state) != self._reported:
             return True
-        longest_s = self._report_s
-        if state.armed != ranks.NO_VERSION or self._is_asked(state, now_s):
-            longest_s = min(longest_s, self._usual_s)
-        # A timer fires late, never early; a tick early is no loss.
-        return now_s - self._reported_s >= longest_s - HURRY_S / 2
-
-    def _rest_s(self, state: ranks.RankState, now_s: float) -> float:
-        """Return how long to rest before the next look."""
-        if self._watched:
-            return HURRY_S
+        longest_s = self._interval_s
+        if state.armed != ranks.NO_VERSION or self._is_pending(state, now_s):
+            longest_s = min(longest_s, self._default_interval_s)
+        # Slightly early rather than one check late.
+        return now_s - self._reported_s >= longest_s - FAST_CHECK_S / 2
+
+    def _pause_s(self, state: ranks.RankState, now_s: float) -> float:
+        """Return the time until the next check."""
+        if self._report_each_step:
+            return FAST_CHECK_S
         if state.armed != ranks.NO_VERSION:
-            return ARMED_S
-        if self._is_asked(state, now_s):
-            return HURRY_S
-        return max(0.0, self._reported_s + self._report_s - now_s)
-
-    def _is_asked(self, state: ranks.RankState, now_s: float) -> bool:
-        """Return whether an order of late is not carried out yet."""
-        _, given_s = self._order
-        return now_s - given_s < HURRY_FOR_S and not self._is_followed(state)
-
-    def _is_followed(self, state: ranks.RankState) -> bool:
-        """Return whether the engine shows what the last order asked for."""
+            return ARMED_CHECK_S
+        if self._is_pending(state, now_s):
+            return FAST_CHECK_S
+        return max(0.0, self._reported_s + self._interval_s - now_s)
+
+    def _is_pending(self, state: ranks.RankState, now_s: float) -> bool:
+        """Return whether a recent order is not carried out yet."""
+        _, sent_s = self._order
+        return now_s - sent_s < FAST_CHECK_FOR_S and not self._is_done(state)
+
+    def _is_done(self, state: ranks.RankState) -> bool:
+        """Return whether the engine has carried out the last order."""
         order, _ = self._order
         if state.epoch != order.epoch or state.map_version == order.version:
             return True
@@ -204,64 +203,64 @@
         return order.kind == ranks.ARM and state.armed == order.version
 
     async def _report(self, state: ranks.RankState) -> None:
-        fresh = await self._fresh_counts(state)
-        told = self._experts if self._tell_experts else []
+        new_counts = await self._new_counts(state)
+        experts = self._experts if self._send_experts else []
         known = next(reversed(self._maps), ranks.NO_VERSION)
         report = messages.RankReport(
-            self._instance_id, state, told, fresh, known
+            self._instance_id, state, experts, new_counts, known
         )
-        # From before the call, so that a lost report is made again.
+        # Before the call, so that a lost report is repeated in time.
         self._reported_s = self.app.now_s()
-        reply = await self.leader.call(report, REPORT_S)
-        self._told = _news(state)
-        self._tell_experts = reply.wants_experts
+        reply = await self.leader.call(report, REPORT_TIMEOUT_S)
+        self._reported = _urgent_state(state)
+        self._send_experts = reply.wants_experts
         if reply.term < self._fence:
-            # From a leader that does not know of its successor.
+            # From a leader that has been superseded.
             return
         self._fence = reply.term
-        self._report_s = reply.report_interval_s or self._usual_s
-        self._watched = reply.report_each_step
-        self._tell_counts = reply.wants_counts
+        self._interval_s = reply.report_interval_s or self._default_interval_s
+        self._report_each_step = reply.report_each_step
+        self._send_counts = reply.wants_counts
         if reply.order is not None:
-            await self._follow(reply.term, reply.order, reply.packed)
+            await self._execute(reply.term, reply.order, reply.packed)
 
-    def take_push(self, message: typing.Any) -> None:
-        """Take what the leader sends unasked: an order."""
+    def on_push(self, message: typing.Any) -> None:
+        """Handle an order that the leader sends without a report."""
         if isinstance(message, messages.RankPush):
-            self.app.start_task(self._take_order, message)
+            self.app.start_task(self._on_order, message)
 
-    async def _take_order(self, pushed: messages.RankPush) -> None:
+    async def _on_order(self, pushed: messages.RankPush) -> None:
         try:
-            await self._follow(pushed.term, pushed.order, pushed.packed)
+            await self._execute(pushed.term, pushed.order, pushed.packed)
         except errors.BadMessage as problem:
-            # The leader learns by a report what it may build on.
-            logger.warning('order not taken', reason=str(problem))
-            self._told = None
+            # The next report names the newest map known here.
+            logger.warning('order rejected', reason=str(problem))
+            self._reported = None
             self._wake.set()
 
-    async def _follow(
+    async def _execute(
         self, term: int, order: ranks.RankOrder, packed: mapdeltas.PackedMap
     ) -> None:
-        """Carry out an order, and look at the engine soon.
+        """Carry out an order, and check the engine soon.
 
-        :raises BadMessage: it comes with a map that can't be read.
+        :raises BadMessage: the order's map can't be unpacked.
         """
         if term < self._fence:
             return
         self._fence = term
         now_s = self.app.now_s()
-        last, given_s = self._order
-        if order == last and now_s - given_s < AGAIN_S:
+        last, sent_s = self._order
+        if order == last and now_s - sent_s < DUPLICATE_S:
             return
         if order.kind == ranks.PREPARE:
             order = order._replace(placed=self._unpack(order, packed))
         self._order = (order._replace(placed=[]), now_s)
-        told = await follow(self.engine, order)
-        logger.info('order', **told)
-        if told['outcome'] != TAKEN:
-            # Whether it is still wanted is for the leader to say.
+        fields = await follow(self.engine, order)
+        logger.info('order', **fields)
+        if fields['outcome'] != ACCEPTED:
+            # Reports at once: the leader decides whether to repeat the order.
             self._order = (ranks.NO_ORDER, float('-inf'))
-            self._told = None
+            self._reported = None
         self._wake.set()
 
     def _unpack(
@@ -269,42 +268,42 @@
     ) -> ranks.Placement:
         """Return the map that came with an order, and keep it.
 
-        :raises BadMessage: it can't be read, or differs from another map
-            than those known here.
+        :raises BadMessage: it is malformed, or its base is not known here.
         """
         if order.version in self._maps:
             return self._maps[order.version]
         known = self._maps.get(packed.base, [])
         if not known and packed.base != ranks.NO_VERSION:
-            raise errors.BadMessage(f'a map based on {packed.base}')
+            raise errors.BadMessage(f'unknown base map {packed.base}')
         placed = mapdeltas.unpack(packed, known)
         while len(self._maps) >= KEPT_MAPS:
             del self._maps[next(iter(self._maps))]
         self._maps[order.version] = placed
         return placed
 
-    async def _follow_epoch(self, state: ranks.RankState) -> None:
-        """Learn anew what holds within one life, and one epoch, only."""
-        life = (state.epoch, state.born_ms)
-        if life != (self._epoch, self._born_ms) or not self._instance_id:
+    async def _update_epoch(self, state: ranks.RankState) -> None:
+        """Reset what is valid for one epoch and incarnation only."""
+        incarnation = (state.epoch, state.born_ms)
+        if (
+            incarnation != (self._epoch, self._born_ms)
+            or not self._instance_id
+        ):
             self._instance_id = await self.engine.instance_id()
-            self._epoch, self._born_ms = life
+            self._epoch, self._born_ms = incarnation
             self._counts = []
             self._map_version = ranks.NO_VERSION
             self._order = (ranks.NO_ORDER, float('-inf'))
         if state.map_version != self._map_version:
             self._experts = await self.engine.experts()
-            self._tell_experts = True
+            self._send_experts = True
             self._map_version = state.map_version
 
-    async def _fresh_counts(
-        self, state: ranks.RankState
-    ) -> demand.PackedCounts:
-        """Return the choices since they were last told, in due time."""
+    async def _new_counts(self, state: ranks.RankState) -> demand.PackedCounts:
+        """Return the choices since the previous counts, none if not due."""
         now_s = self.app.now_s()
-        is_due = now_s - self._counted_s >= COUNTS_PART * self._report_s
-        is_asked = self._tell_counts and state.group and state.is_open
-        if not is_asked or not is_due:
+        is_due = now_s - self._counted_s >= COUNTS_FRACTION * self._interval_s
+        is_wanted = self._send_counts and state.group and state.is_open
+        if not is_wanted or not is_due:
             return demand.NO_COUNTS
         counts = await self.engine.counts()
         before = self._counts
@@ -312,11 +311,11 @@
         self._counted_s = now_s
         if len(before) != len(counts):
             return demand.NO_COUNTS
-        fresh = [now - then for now, then in zip(counts, before)]
-        if min(fresh, default=0) < 0:
-            # The engine counts anew: it has started again.
+        new = [now - then for now, then in zip(counts, before)]
+        if min(new, default=0) < 0:
+            # The engine has restarted, which reset its counts.
             return demand.NO_COUNTS
-        return demand.pack(fresh)
+        return demand.pack(new)
 
     def dump(self) -> dict:
         """Return the state for `mountridge dump`."""
@@ -329,11 +328,11 @@
 
 
 def build(app: application.Application, engine: Engine) -> Sidecar:
-    """Return a sidecar whose tasks are in ``app``."""
-    made = Sidecar(app, engine)
-    app.tasks.append(made.run)
-    app.dumpers['sidecar'] = made.dump
-    return made
+    """Return a sidecar with its tasks added to ``app``."""
+    built = Sidecar(app, engine)
+    app.tasks.append(built.run)
+    app.dumpers['sidecar'] = built.dump
+    return built
 
 
 def run(
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -993,7 +993,7 @@
     ),
     Mutant(
         'lives: counts anew are choices', 'sidecar',
-        'if min(fresh, default=0) < 0:',
+        'if min(new, default=0) < 0:',
         'if False:', 'lives',
     ),
     Mutant(
