--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -177,16 +177,16 @@
 
 @given('an engine that {fault}')
 def faulty_engine(context, fault):
-    async def follow(order):
+    async def execute(order):
         raise FAULTS[fault]('as the scenario says')
 
-    context.engine = types.SimpleNamespace(follow=follow)
+    context.engine = types.SimpleNamespace(execute=execute)
 
 
 @when('an order is given to it')
 def give_order(context):
     order = ranks.RankOrder(ranks.HOLD, 1, 2, 3, [])
-    context.told = trio.run(sidecar.follow, context.engine, order)
+    context.told = trio.run(sidecar.execute_order, context.engine, order)
 
 
 @then("the order's outcome is {outcome}")
--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -89,7 +89,7 @@
     def __init__(self):
         self.orders = []
 
-    async def follow(self, order):
+    async def execute(self, order):
         self.orders.append(order)
 
 
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -43,7 +43,9 @@
 
     def _send_remote_order(self, remote):
         engine = self.world.remote_engine(remote.instance_id)
-        self.world.nursery.start_soon(sidecar.follow, engine, remote.order)
+        self.world.nursery.start_soon(
+            sidecar.execute_order, engine, remote.order
+        )
         return True
 
     def now_s(self):
@@ -101,7 +103,7 @@
     async def instance_id(self):
         return f'i-{self.number}'
 
-    async def follow(self, order):
+    async def execute(self, order):
         world = self.world
         await trio.sleep(0.001)
         if world.rng.random() >= world.order_loss:
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -143,7 +143,7 @@
         if engine is None:
             logger.warning('order for an unknown runner', **remote._asdict())
             return
-        fields = await sidecar.follow(engine, remote.order)
+        fields = await sidecar.execute_order(engine, remote.order)
         logger.info('remote order', runner=remote.instance_id, **fields)
 
     def engine(self, instance_id: str) -> sidecar.Engine | None:
--- a/mountridge/groups/engines.py
+++ b/mountridge/groups/engines.py
@@ -136,7 +136,7 @@
         head, _ = await self._calls.call(b'GET', STATE)
         return instance_id_from(head)
 
-    async def follow(self, order: ranks.RankOrder) -> None:
+    async def execute(self, order: ranks.RankOrder) -> None:
         """Carry out an order."""
         await self._calls.send_order(ORDER, msgspec.json.encode(order))
 
--- a/mountridge/remoteranks.py
+++ b/mountridge/remoteranks.py
@@ -85,5 +85,5 @@
         )
         order = self.groups.on_remote_report(report)
         if order is not None:
-            fields = await sidecar.follow(engine, order)
+            fields = await sidecar.execute_order(engine, order)
             logger.info('remote order', runner=last.instance_id, **fields)
--- a/mountridge/sidecar.py
+++ b/mountridge/sidecar.py
@@ -17,7 +17,7 @@
 from mountridge.net import httpserver
 from mountridge.state import members
 
-__all__ = ['Engine', 'Sidecar', 'build', 'follow', 'run']
+__all__ = ['Engine', 'Sidecar', 'build', 'execute_order', 'run']
 
 #: Interval of the engine checks while it carries out an order. Only changes
 #: are reported, so the leader has no extra load.
@@ -59,7 +59,7 @@
     async def instance_id(self) -> str:
         """Return the id under which the engine's runner is registered."""
 
-    async def follow(self, order: ranks.RankOrder) -> None:
+    async def execute(self, order: ranks.RankOrder) -> None:
         """Carry out an order.
 
         :raises RefusedChange: it does not fit the engine's state.
@@ -67,10 +67,10 @@
         """
 
 
-async def follow(engine: Engine, order: ranks.RankOrder) -> dict:
+async def execute_order(engine: Engine, order: ranks.RankOrder) -> dict:
     """Send an order to an engine; return the fields for the log."""
     try:
-        await engine.follow(order)
+        await engine.execute(order)
         outcome = ACCEPTED
     except errors.RefusedChange as problem:
         outcome = f'refused: {problem}'
@@ -255,7 +255,7 @@
         if order.kind == ranks.PREPARE:
             order = order._replace(placed=self._unpack(order, packed))
         self._order = (order._replace(placed=[]), now_s)
-        fields = await follow(self.engine, order)
+        fields = await execute_order(self.engine, order)
         logger.info('order', **fields)
         if fields['outcome'] != ACCEPTED:
             # Reports at once: the leader decides whether to repeat the order.
