--- a/features/entry.feature
+++ b/features/entry.feature
@@ -1,49 +1,49 @@
-Feature: Requests by routes, runners that register themselves, and expert maps
+Feature: Routes, registration of runners, expert maps and calls to the leader
 
-  Scenario Outline: The route of the longest prefix that begins the path
+  Scenario Outline: The route with the longest matching prefix is selected
     Given routes for a.example at / and /x/ and /x/y/
-    Then a request for <host> with the path <path> takes the route <route>
+    Then a request for <host> with the path <path> matches the route <route>
 
     Examples:
-      | host      | path     | route  |
-      | a.example | /x/y/2   | /x/y/  |
-      | a.example | /x/y     | /x/    |
-      | A.example | /x/      | /x/    |
-      | a.example | /z       | /      |
-      | b.example | /x/      | none   |
-
-  Scenario Outline: A routes document that contradicts itself is refused whole
+      | host      | path   | route |
+      | a.example | /x/y/2 | /x/y/ |
+      | a.example | /x/y   | /x/   |
+      | A.example | /x/    | /x/   |
+      | a.example | /z     | /     |
+      | b.example | /x/    | none  |
+
+  Scenario Outline: An invalid routes document is rejected as a whole
     Given a routes document whose <fault>
-    Then the whole of it is refused with code 1502
+    Then it is rejected as a whole with code 1502
 
     Examples:
-      | fault                             |
-      | route names an unknown service    |
-      | routes share a host and a prefix  |
-      | weights add up to nothing         |
-      | time-out is nothing               |
-      | teams share a key                 |
-      | text is cut short                 |
-
-  Scenario: The highest version of the routes holds, whatever comes later
+      | fault                            |
+      | route names an unknown service   |
+      | routes share a host and a prefix |
+      | weights add up to zero           |
+      | time-out is zero                 |
+      | teams share a key                |
+      | text is truncated                |
+
+  Scenario: The highest version of the routes stays in force
     Given a replicated state
     When routes of the versions 3, 7, 5, 7 and 6 are put in this order
-    Then version 7 with its first content is held, also after a snapshot
+    Then version 7 with its first content is in force, also after a snapshot
 
-  Scenario: A runner that left never comes back, and its address may be reused
+  Scenario: A runner that left is never registered again, and its address may be reused
     Given a replicated state
-    When a runner registers, leaves, and a late heartbeat of it comes
+    When a runner registers, leaves, and its delayed heartbeat is received
     Then it has left
     When another runner registers at the address of a live one
     Then the live one has left and the other is ready
 
-  Scenario Outline: A heartbeat that comes late does not undo a newer one
+  Scenario Outline: A delayed heartbeat does not override a newer one
     Given a leader's registry
-    When a runner says <first> with number 5 and then <second> with number <n>
-    Then it is held as <held>
+    When a runner reports <first> with number 5 and then <second> with number <n>
+    Then it is registered as <state>
 
     Examples:
-      | first    | second   | n | held     |
+      | first    | second   | n | state    |
       | draining | ready    | 4 | draining |
       | ready    | draining | 6 | draining |
       | draining | ready    | 6 | ready    |
@@ -56,36 +56,36 @@
     And the group is not held at the end
 
     Examples:
-      | fault                                       | changes |
-      | followed at once                            | 8       |
-      | lost 3 in 10 times                          | 4       |
-      | unanswered and carried out 2 to 12 s later  | 1       |
-      | followed while the leader changes each 3 s  | 3       |
-      | late while the leader changes each 3 s      | 1       |
-      | late while the leader changes each 0.7 s    | 1       |
+      | fault                                      | changes |
+      | followed at once                           | 8       |
+      | lost 3 in 10 times                         | 4       |
+      | unanswered and carried out 2 to 12 s later | 1       |
+      | followed while the leader changes each 3 s | 3       |
+      | late while the leader changes each 3 s     | 1       |
+      | late while the leader changes each 0.7 s   | 1       |
 
   Scenario: Orders go out as soon as the last rank has reported
     Given a group of 4 engines whose demand shifts each second
     When sidecars and a leader change its maps for 40 s with orders followed at once
-    Then a change took at most 0.35 s from its plan to its use in the middle
-    And each change took at most 100 reports
+    Then the median change took at most 0.35 s from its plan to its use
+    And a change took at most 100 reports on average
 
   Scenario: An order that is lost on its way comes with the answer to a report
     Given a group of 4 engines whose demand shifts each second
-    When sidecars and a leader change its maps for 40 s with half of the pushes lost and sidecars that rest 0.5 s
+    When sidecars and a leader change its maps for 40 s with half of the pushes lost and sidecars that report each 0.5 s
     Then no pass was made with two maps
     And the maps were changed at least 30 times
-    And the group stood still for at most 0.3 s a change
+    And the group was stalled for at most 0.3 s per change
 
   Scenario: Orders that go unanswered hardly hold a group up
     Given a group of 4 engines whose demand shifts each second
     When sidecars and a leader change its maps for 40 s with orders unanswered and carried out 2 to 12 s later
-    Then the group stood still for at most 0.1 s a change
+    Then the group was stalled for at most 0.1 s per change
 
   Scenario Outline: Whoever is lost right after a hold hardly holds a group up
     Given a group of 4 engines whose demand shifts each second
     When sidecars and a leader change its maps for 40 s with <lost> of each hold frozen for 4 s
-    Then the group stood still for at most <most> s in all
+    Then the group was stalled for at most <most> s in total
     And no pass was made with two maps
     And the maps were changed at least <changes> times
 
@@ -100,74 +100,74 @@
     Then no pass was made with two maps
     And the group is not held at the end
 
-  Scenario Outline: The budget of repeated sends holds over all gateways
-    Given <gateways> gateways that share a budget of 0.2 and 96 in 10 s
-    When each sends <firsts> requests in 20 s and repeats all it may
-    Then no 10 s hold more repeated sends than the budget
+  Scenario Outline: The retry budget applies across all gateways
+    Given <gateways> gateways that share a retry budget of 0.2 and 96 in 10 s
+    When each sends <requests> requests in 20 s and retries as many as allowed
+    Then no window of 10 s has more retries than the budget
 
     Examples:
-      | gateways | firsts |
-      | 1        | 10     |
-      | 10       | 100    |
-      | 37       | 300    |
+      | gateways | requests |
+      | 1        | 10       |
+      | 10       | 100      |
+      | 37       | 300      |
 
-  Scenario: Log lines are bounded, and those left out are counted
+  Scenario: The rate of log lines is limited, and dropped lines are counted
     Given a log sink that allows 10 lines a second
-    When 100 lines come at once, and one more 3 s later
-    Then 21 lines and one that tells of 80 left out were written
+    When 100 lines are logged at once, and one more 3 s later
+    Then 21 lines and one that reports 80 dropped lines were written
 
-  Scenario: A reader that takes nothing delays nobody
+  Scenario: Logging does not wait for a reader that has stopped reading
     Given a log sink that allows 10 lines a second
-    When its reader takes nothing and 5 lines come
-    Then 4 of them are counted as left out
+    When its reader stops reading and 5 lines are logged
+    Then 4 of them are counted as dropped
 
   Scenario: After a loss of power, entries find the leader by a seed with no disk
     Given 4 entries of which 3 have a disk, with routes in force
-    When all are killed and start again with only the fourth as their seed
+    When all are killed and restart with only the fourth as their seed
     Then all 4 are ready again within 15 s
 
-  Scenario: A lost disk joins as new, and holds what was acknowledged
+  Scenario: An entry with a lost disk joins as a new voter and keeps the routes
     Given 4 entries of which 3 have a disk, with routes in force
-    When an entry is killed, its disk is emptied, and it starts again
-    Then it is a voter within 15 s, under another identity
+    When an entry is killed, its disk is emptied, and it restarts
+    Then it is a voter within 15 s, with a new identity
 
-  Scenario: A call that waits in vain does not turn others from the leader
-    Given a leader, and a controller asked first that says nothing
+  Scenario: An unanswered call does not keep other calls from the leader
+    Given a leader, and an unresponsive controller that is called first
     When 12 calls begin 0.1 s apart
     Then each is answered within 0.6 s
 
-  Scenario Outline: An order to an engine that <fault> ends nothing but itself
+  Scenario Outline: An order to an engine that <fault> fails without an exception
     Given an engine that <fault>
-    When an order is given to it
+    When an order is sent to it
     Then the order's outcome is <outcome>
 
     Examples:
-      | fault                   | outcome   |
-      | can not be reached      | not given |
-      | gives no answer         | unknown   |
-      | refuses what is asked   | refused   |
+      | fault             | outcome   |
+      | is unreachable    | not given |
+      | does not respond  | unknown   |
+      | rejects the order | refused   |
 
-  Scenario Outline: A planned stop leaves time to answer what it has taken
-    Given an entry with a grace of <grace_s> s whose addresses live for <ttl_s> s
-    When it is told to stop with a request that never ends
-    Then it takes new requests for <taken_s> s and is over after <over_s> s
+  Scenario Outline: A planned stop leaves time to complete accepted requests
+    Given an entry with a grace period of <grace_s> s and an address TTL of <ttl_s> s
+    When it is stopped while a request never ends
+    Then it accepts new requests for <accept_s> s and ends after <end_s> s
 
     Examples:
-      | grace_s | ttl_s | taken_s | over_s |
-      | 8       | 1     | 3       | 7.5    |
-      | 8       | 2     | 3.2     | 7.5    |
-      | 4       | 1     | 1.6     | 3.5    |
-
-  Scenario: A leader that is heard of again is asked again at once
-    Given a leader that says nothing for 1 s, and two that do not lead
-    When calls go on meanwhile, and a late reply of it comes after 1 s
+      | grace_s | ttl_s | accept_s | end_s |
+      | 8       | 1     | 3        | 7.5   |
+      | 8       | 2     | 3.2      | 7.5   |
+      | 4       | 1     | 1.6      | 3.5   |
+
+  Scenario: A leader that responds again is called again at once
+    Given a leader that is unresponsive for 1 s, and two other controllers
+    When calls continue meanwhile, and it sends a delayed reply after 1 s
     Then the next call is answered within 0.3 s
 
-  Scenario: A connection whose opening packet is dropped is begun anew
-    Given an address whose queue of new connections is full
+  Scenario: A connection whose SYN packet is dropped is retried
+    Given an address with a full accept queue
     When a process connects to it
-    Then it begins the connection anew without waiting for the system
+    Then it retries without waiting for the kernel
 
-  Scenario: The platform's names stay in its folder
+  Scenario: The platform's names are used only in its folder
     Then nothing outside the folder platform names its headers or calls
     And Python's own platform module is found with that folder on the path
--- a/features/steps/entry_process_steps.py
+++ b/features/steps/entry_process_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on real entry processes over loopback."""
+"""Steps on entry processes over the loopback interface."""
 
 import json
 import shutil
@@ -35,13 +35,13 @@
 
 
 def _voters(context):
-    """Return the newest set of voters that any log tells."""
+    """Return the newest set of voters in any log."""
     newest = ('', [])
     for path in context.lab.folder.glob('entry-*.log'):
         for line in path.read_text().splitlines():
-            told = json.loads(line) if line.startswith('{') else {}
-            if told.get('message') == 'controllers':
-                newest = max(newest, (told['at'], told['voters']))
+            logged = json.loads(line) if line.startswith('{') else {}
+            if logged.get('message') == 'controllers':
+                newest = max(newest, (logged['at'], logged['voters']))
     return newest[1]
 
 
@@ -57,7 +57,7 @@
     _wait_for(_all_ready, 10)
 
 
-@when('all are killed and start again with only the fourth as their seed')
+@when('all are killed and restart with only the fourth as their seed')
 def lose_power(context):
     context.lab.stop_all()
     context.lab.seeds = [4]
@@ -69,18 +69,18 @@
     _wait_for(_all_ready, limit_s)
 
 
-@when('an entry is killed, its disk is emptied, and it starts again')
+@when('an entry is killed, its disk is emptied, and it restarts')
 def empty_disk(context):
-    made = context.lab
+    lab_run = context.lab
     context.before = [v for v in _voters(context) if v.startswith('entry-1.')]
-    process = made.processes[1]
+    process = lab_run.processes[1]
     process.kill()
     process.wait()
-    shutil.rmtree(made.folder / 'data-1')
-    made.start_entry(1, founding=False)
+    shutil.rmtree(lab_run.folder / 'data-1')
+    lab_run.start_entry(1, founding=False)
 
 
-@then('it is a voter within {limit_s:d} s, under another identity')
+@then('it is a voter within {limit_s:d} s, with a new identity')
 def check_voter(context, limit_s):
     def joined():
         now = [v for v in _voters(context) if v.startswith('entry-1.')]
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on routes, registrations, expert maps, budgets, logs and names."""
+"""Steps on routes, registration, expert maps, retry budgets and logs."""
 
 import json
 import pathlib
@@ -42,14 +42,13 @@
     return list({**route, **over}.values())
 
 
-def _document(routes_given, version=1, teams=()):
-    shares = routes_given
-    for route in shares:
+def _document(listed, version=1, teams=()):
+    for route in listed:
         route[7] = [list(share.values()) for share in route[7]]
     service = ['s', '/health', 10, None]
     limits = [16384, 1 << 20, 3000, 15000]
     teams = [[name, keys, None] for name, keys in teams]
-    return json.dumps([version, shares, [service], limits, teams]).encode()
+    return json.dumps([version, listed, [service], limits, teams]).encode()
 
 
 @given('routes for a.example at / and /x/ and /x/y/')
@@ -58,7 +57,7 @@
     context.index = routes.index(routes.decode(document))
 
 
-@then('a request for {host} with the path {path} takes the route {name}')
+@then('a request for {host} with the path {path} matches the route {name}')
 def check_route(context, host, path, name):
     found = context.index.match(host, path)
     assert (found.name if found else 'none') == name, found
@@ -71,14 +70,14 @@
     'routes share a host and a prefix': lambda: _document(
         [_route('/'), _route('/', host='A.example')]
     ),
-    'weights add up to nothing': lambda: _document(
+    'weights add up to zero': lambda: _document(
         [_route('/', shares=[{'service': 's', 'weight': 0}])]
     ),
-    'time-out is nothing': lambda: _document([_route('/', timeout_ms=0)]),
+    'time-out is zero': lambda: _document([_route('/', timeout_ms=0)]),
     'teams share a key': lambda: _document(
         [_route('/')], teams=[('a', ['k']), ('b', ['k'])]
     ),
-    'text is cut short': lambda: _document([_route('/')])[:-20],
+    'text is truncated': lambda: _document([_route('/')])[:-20],
 }
 
 
@@ -87,14 +86,14 @@
     context.document = FAULTS[fault]()
 
 
-@then('the whole of it is refused with code {code:d}')
+@then('it is rejected as a whole with code {code:d}')
 def check_refused(context, code):
     try:
         routes.decode(context.document)
     except errors.BadRoutes as problem:
         assert problem.code == code, problem
     else:
-        raise AssertionError('it was taken')
+        raise AssertionError('the document was accepted')
 
 
 @given('a replicated state')
@@ -110,16 +109,16 @@
 
 @when('routes of the versions {numbers} are put in this order')
 def put_versions(context, numbers):
-    for place, number in enumerate(re.findall(r'\d+', numbers)):
-        content = b'%d' % place
+    for index, number in enumerate(re.findall(r'\d+', numbers)):
+        content = b'%d' % index
         _apply(context, commands.PutRoutes(int(number), content, 1.0))
 
 
 @then(
-    'version {number:d} with its first content is held,'
+    'version {number:d} with its first content is in force,'
     ' also after a snapshot'
 )
-def check_held(context, number):
+def check_in_force(context, number):
     restored = statemachine.StateMachine()
     restored.restore(context.machine.snapshot())
     for machine in (context.machine, restored):
@@ -131,8 +130,8 @@
     return instances.Instance(key, 's', address, 'north', 'v1', 4, state)
 
 
-@when('a runner registers, leaves, and a late heartbeat of it comes')
-def leave_and_return(context):
+@when('a runner registers, leaves, and its delayed heartbeat is received')
+def leave_before_heartbeat(context):
     for state in (instances.READY, instances.LEFT, instances.READY):
         _apply(context, commands.SetInstance(_runner(state=state), 1.0))
 
@@ -162,7 +161,8 @@
 
 
 @when(
-    'a runner says {first} with number 5 and then {second} with number {n:d}'
+    'a runner reports {first} with number 5'
+    ' and then {second} with number {n:d}'
 )
 def two_heartbeats(context, first, second, n):
     async def main():
@@ -173,7 +173,7 @@
     trio.run(main)
 
 
-@then('it is held as {state}')
+@then('it is registered as {state}')
 def check_state(context, state):
     assert context.machine.instances['i-1'].state == state
 
@@ -192,23 +192,21 @@
 
 
 @then('no pass was made with two maps')
-def check_mixed(context):
+def check_maps_not_mixed(context):
     assert context.world.group.step > 100, context.world.group.step
     assert context.world.group.mixed_passes == 0
 
 
-@then(
-    'a change took at most {most_s:g} s from its plan to its use in the middle'
-)
-def check_change_took(context, most_s):
+@then('the median change took at most {most_s:g} s from its plan to its use')
+def check_change_duration(context, most_s):
     took_s = statistics.median(context.world.change_durations_s)
     assert took_s <= most_s, took_s
 
 
-@then('each change took at most {most:d} reports')
+@then('a change took at most {most:d} reports on average')
 def check_reports(context, most):
-    each = context.world.reports / context.world.changes
-    assert each <= most, each
+    mean = context.world.reports / context.world.changes
+    assert mean <= most, mean
 
 
 @then('the maps were changed at least {count:d} times')
@@ -217,56 +215,56 @@
 
 
 @then('the group is not held at the end')
-def check_free(context):
+def check_not_held(context):
     held = [rank.held_step for rank in context.world.group.ranks]
     assert set(held) == {-1}, held
 
 
-@then('the group stood still for at most {most_s:g} s a change')
-def check_still_a_change(context, most_s):
+@then('the group was stalled for at most {most_s:g} s per change')
+def check_stalled_per_change(context, most_s):
     world = context.world
     assert world.changes >= 10, world.changes
     assert world.stalled_s <= most_s * world.changes, world.stalled_s
 
 
-@then('the group stood still for at most {most_s:g} s in all')
-def check_still(context, most_s):
+@then('the group was stalled for at most {most_s:g} s in total')
+def check_stalled(context, most_s):
     assert context.world.stalled_s <= most_s, context.world.stalled_s
 
 
 # Budgets.
 
 
-@given('{count:d} gateways that share a budget of 0.2 and 96 in 10 s')
+@given('{count:d} gateways that share a retry budget of 0.2 and 96 in 10 s')
 def gateways_with_budget(context, count):
     context.budgets = [
         budgets.RetryBudget(0.2, 96, 10.0) for _ in range(count)
     ]
 
 
-@when('each sends {firsts:d} requests in 20 s and repeats all it may')
-def send_all(context, firsts):
+@when('each sends {count:d} requests in 20 s and retries as many as allowed')
+def send_all(context, count):
     rng = random.Random(1)
     sends = [
         (rng.uniform(0, 20), budget)
         for budget in context.budgets
-        for _ in range(firsts)
+        for _ in range(count)
     ]
-    context.firsts_s, context.repeats_s = [], []
+    context.firsts_s, context.retries_s = [], []
     for now_s, budget in sorted(sends, key=lambda each: each[0]):
         budget.record_first('s', now_s)
         context.firsts_s.append(now_s)
         while budget.try_acquire('s', len(context.budgets), now_s):
-            context.repeats_s.append(now_s)
+            context.retries_s.append(now_s)
 
 
-@then('no 10 s hold more repeated sends than the budget')
+@then('no window of 10 s has more retries than the budget')
 def check_budget(context):
-    assert context.repeats_s or len(context.budgets) > 10
-    for end_s in context.repeats_s:
-        inside = [s for s in context.repeats_s if end_s - 10 < s <= end_s]
-        first = [s for s in context.firsts_s if end_s - 10 < s <= end_s]
-        assert len(inside) <= 0.2 * len(first) + 96, end_s
+    assert context.retries_s or len(context.budgets) > 10
+    for end_s in context.retries_s:
+        retries = [s for s in context.retries_s if end_s - 10 < s <= end_s]
+        firsts = [s for s in context.firsts_s if end_s - 10 < s <= end_s]
+        assert len(retries) <= 0.2 * len(firsts) + 96, end_s
 
 
 # Logs.
@@ -276,10 +274,10 @@
 def log_sink(context):
     context.now_s = 0.0
     context.written = b''
-    context.takes = True
+    context.is_reading = True
 
     def write(data):
-        if not context.takes:
+        if not context.is_reading:
             raise BlockingIOError()
         context.written += data
         return len(data)
@@ -287,7 +285,7 @@
     context.sink = logs.LineSink(write, 10.0, lambda: context.now_s)
 
 
-@when('100 lines come at once, and one more 3 s later')
+@when('100 lines are logged at once, and one more 3 s later')
 def many_lines(context):
     for _ in range(100):
         context.sink('line\n')
@@ -295,22 +293,22 @@
     context.sink('line\n')
 
 
-@then('21 lines and one that tells of 80 left out were written')
+@then('21 lines and one that reports 80 dropped lines were written')
 def check_lines(context):
     lines = context.written.decode().splitlines()
     assert lines.count('line') == 21, lines
     assert json.loads(lines[-2])['count'] == 80, lines
 
 
-@when('its reader takes nothing and 5 lines come')
-def deaf_reader(context):
-    context.takes = False
+@when('its reader stops reading and 5 lines are logged')
+def stop_reading(context):
+    context.is_reading = False
     for _ in range(5):
         context.sink('line\n')
 
 
-@then('4 of them are counted as left out')
-def check_left_out(context):
+@then('4 of them are counted as dropped')
+def check_dropped(context):
     assert context.sink.left_out == 4
 
 
@@ -346,11 +344,11 @@
         assert shown.stdout.startswith('3.'), shown.stderr
 
 
-# The way to the leader.
+# Calls to the leader.
 
 
-class _Callers:
-    """Controllers of which the first says nothing and the second leads."""
+class _App:
+    """Connects to an unresponsive controller ``a`` and the leader ``b``."""
 
     metrics = None
     settings = {
@@ -368,7 +366,7 @@
     def connect(self, address, peer, on_message=None, on_received=None):
         app = self
 
-        class Caller:
+        class Connection:
             async def call(self, message, timeout_s, late=None):
                 if peer == 'a':
                     await trio.sleep(timeout_s)
@@ -380,12 +378,12 @@
             def close(self):
                 pass
 
-        return Caller()
+        return Connection()
 
 
-@given('a leader, and a controller asked first that says nothing')
-def silent_first(context):
-    context.app = _Callers()
+@given('a leader, and an unresponsive controller that is called first')
+def unresponsive_first(context):
+    context.app = _App()
 
 
 @when('{count:d} calls begin 0.1 s apart')
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on the way to the leader, on connections, and on planned stops."""
+"""Steps on calls to the leader, on connections, and on planned stops."""
 
 import socket
 import types
@@ -59,12 +59,12 @@
         return messages.Registered()
 
 
-@given('a leader that says nothing for 1 s, and two that do not lead')
+@given('a leader that is unresponsive for 1 s, and two other controllers')
 def silent_leader(context):
     context.silent_s = 1.0
 
 
-@when('calls go on meanwhile, and a late reply of it comes after 1 s')
+@when('calls continue meanwhile, and it sends a delayed reply after 1 s')
 def call_meanwhile(context):
     async def main():
         app = _Silent(trio.current_time() + context.silent_s)
@@ -88,7 +88,7 @@
     assert context.took_s < limit_s, context.took_s
 
 
-@given('an address whose queue of new connections is full')
+@given('an address with a full accept queue')
 def full_queue(context):
     listener = socket.socket()
     listener.bind(('127.0.0.1', 0))
@@ -120,7 +120,7 @@
     context.monitor = context.channel.socket.get_monitor_socket()
 
 
-@then('it begins the connection anew without waiting for the system')
+@then('it retries without waiting for the kernel')
 def check_anew(context):
     begun = 0
     while begun < 3:
@@ -130,8 +130,8 @@
 
 
 @given(
-    'an entry with a grace of {grace_s:g} s whose addresses live'
-    ' for {ttl_s:g} s'
+    'an entry with a grace period of {grace_s:g} s and an address TTL'
+    ' of {ttl_s:g} s'
 )
 def make_entry(context, grace_s, ttl_s):
     context.entry = types.SimpleNamespace(
@@ -145,7 +145,7 @@
     )
 
 
-@when('it is told to stop with a request that never ends')
+@when('it is stopped while a request never ends')
 def stop_entry(context):
     async def main():
         made = context.entry
@@ -153,25 +153,25 @@
 
         def close_idle():
             assert made.forwarder.closed
-            context.taken_s = trio.current_time() - began_s
+            context.accept_s = trio.current_time() - began_s
 
         made.front.close_idle = close_idle
         await entry.Entry.drain(made)
-        context.over_s = trio.current_time() - began_s
+        context.end_s = trio.current_time() - began_s
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-@then('it takes new requests for {taken_s:g} s and is over after {over_s:g} s')
-def check_stop(context, taken_s, over_s):
-    assert abs(context.taken_s - taken_s) < 0.01, context.taken_s
-    assert abs(context.over_s - over_s) < 0.1, context.over_s
+@then('it accepts new requests for {accept_s:g} s and ends after {end_s:g} s')
+def check_stop(context, accept_s, end_s):
+    assert abs(context.accept_s - accept_s) < 0.01, context.accept_s
+    assert abs(context.end_s - end_s) < 0.1, context.end_s
 
 
 FAULTS = {
-    'can not be reached': errors.NoRunner,
-    'gives no answer': errors.OutcomeUnknown,
-    'refuses what is asked': errors.RefusedChange,
+    'is unreachable': errors.NoRunner,
+    'does not respond': errors.OutcomeUnknown,
+    'rejects the order': errors.RefusedChange,
 }
 
 
@@ -183,7 +183,7 @@
     context.engine = types.SimpleNamespace(execute=execute)
 
 
-@when('an order is given to it')
+@when('an order is sent to it')
 def give_order(context):
     order = ranks.RankOrder(ranks.HOLD, 1, 2, 3, [])
     context.told = trio.run(sidecar.execute_order, context.engine, order)
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -165,7 +165,7 @@
         #: False at the end, so that the last change finishes and no pass is
         #: held for another one at the moment of the check.
         self.shifting = True
-        self.report_s = 0.5 if 'rest 0.5 s' in faults else 0.2
+        self.report_s = 0.5 if 'report each 0.5 s' in faults else 0.2
         #: Part of the leader's pushes that are lost.
         self.push_loss = 0.5 if 'pushes lost' in faults else 0.0
         self.sidecars = {}
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -407,7 +407,7 @@
     Mutant(
         'entry: late heartbeats count', 'lives',
         'if given.seq < known.seq:', 'if False:',
-        'entry', 'heartbeat that comes late',
+        'entry', 'delayed heartbeat',
     ),
     Mutant(
         'entry: left runners come back', 'lives',
@@ -422,13 +422,13 @@
     Mutant(
         'entry: hung connections are waited for', 'sockets',
         'socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_MS)', '', 'entry',
-        'opening packet',
+        'SYN packet',
     ),
     Mutant(
         'entry: silence lasts though one is heard', 'members',
         '                self._silent_until_s.pop(address, None)',
         '                pass', 'entry',
-        'heard of again',
+        'responds again',
     ),
     Mutant(
         'placing: others send nothing', 'backends',
