--- a/features/start.feature
+++ b/features/start.feature
@@ -1,46 +1,46 @@
-Feature: Starts of processes, short and in sight of callers
+Feature: Fast starts of processes, which accept callers early
 
-  All processes may be started at once, on boxes with half a core. A caller
-  that is refused everywhere has lost its tries by the time the first of them
-  listens.
+  All processes may be started at once, on boxes with half a core. Callers
+  that are refused everywhere use up their attempts before the first of the
+  processes listens.
 
-  Scenario Outline: The start of <role> loads no library that it does not use
+  Scenario Outline: The start of the <role> imports no library that it does not use
     When the modules of <role> are imported in a new interpreter
-    Then none of the costly libraries is among them
+    Then no library with a slow import is among them
 
     Examples:
       | role    |
       | entry   |
       | sidecar |
 
-  Scenario: A caller that comes while libraries are loaded is answered
+  Scenario: A caller that connects during the imports gets a response
     Given a settings file in JSON that names a callers' address
     When a socket listens there early and a caller sends a request
     And a server is run on that socket
-    Then the caller gets the whole answer
+    Then the caller gets the complete response
 
-  Scenario Outline: No early socket is opened for <file>
+  Scenario Outline: No early socket is opened for a settings file that is <file>
     Given a settings file that is <file>
     Then no socket listens early
 
     Examples:
-      | file                      |
-      | not there                 |
-      | written in YAML           |
-      | without callers' address  |
-      | with an address that is taken |
+      | file                       |
+      | missing                    |
+      | written in YAML            |
+      | without a callers' address |
+      | with an address in use     |
 
-  Scenario: Settings read the same in JSON and in YAML
-    Given the settings of an entry in both forms
-    Then both are checked to the same settings
+  Scenario: Settings are the same in JSON and in YAML
+    Given the settings of an entry in both formats
+    Then both are loaded as the same settings
 
-  Scenario: A settings file that is neither is refused
+  Scenario: A settings file that is neither is rejected
     Given a settings file that is broken
-    Then it is refused with its code and path
+    Then it is rejected with the error code and its path
 
-  Scenario Outline: The platform's <role> finds all that it imports at its start
+  Scenario Outline: The platform's <role> finds all of its imports
     When the platform starts the <role> with no settings file
-    Then it ends with the code of bad settings
+    Then it ends with the error code of bad settings
 
     Examples:
       | role    |
--- a/features/steps/start_steps.py
+++ b/features/steps/start_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on what a process loads and opens before it serves."""
+"""Steps on the imports, early socket and settings of a starting process."""
 
 import json
 import os
@@ -19,9 +19,9 @@
 from mountridge.net import httpserver, listening
 from standins import ports
 
-#: Each takes 20 ms or more to import with what it imports, and no sidecar and
-#: no entry without a disk needs it.
-COSTLY = {
+#: Modules that take 20 ms or more to import with their dependencies, and are
+#: needed by no sidecar and no entry without a disk.
+SLOW_IMPORTS = {
     'mountridge.controller', 'mountridge.experts.mapplans',
     'mountridge.consensus.storage', 'asyncio', 'click', 'crc32c', 'httpx',
     'hypercorn', 'loguru', 'quart', 'tabulate', 'yaml',
@@ -39,17 +39,17 @@
 
 @when('the modules of {role} are imported in a new interpreter')
 def import_role(context, role):
-    told = 'import sys, json; print(json.dumps(sorted(sys.modules)))'
-    script = f'import mountridge.{role}; {told}'
+    listing = 'import sys, json; print(json.dumps(sorted(sys.modules)))'
+    script = f'import mountridge.{role}; {listing}'
     done = subprocess.run(
         [sys.executable, '-c', script], capture_output=True, check=True
     )
     context.loaded = set(json.loads(done.stdout))
 
 
-@then('none of the costly libraries is among them')
-def none_costly(context):
-    assert not context.loaded & COSTLY, context.loaded & COSTLY
+@then('no library with a slow import is among them')
+def check_imports(context):
+    assert not context.loaded & SLOW_IMPORTS, context.loaded & SLOW_IMPORTS
 
 
 def _free_address():
@@ -80,14 +80,16 @@
 
 @when('a server is run on that socket')
 def run_server(context):
-    async def answer(request, responder):
+    async def respond(request, responder):
         await responder.send_response(200, [], b'whole')
 
     async def serve():
-        server = httpserver.Server(answer, routes.Limits, lambda: True)
+        server = httpserver.Server(respond, routes.Limits, lambda: True)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(server.run, context.address, context.early)
-            context.answer = await trio.to_thread.run_sync(_read_all, context)
+            context.response = await trio.to_thread.run_sync(
+                _read_all, context
+            )
             nursery.cancel_scope.cancel()
 
     trio.run(serve)
@@ -100,10 +102,10 @@
     return found
 
 
-@then('the caller gets the whole answer')
-def whole_answer(context):
-    assert context.answer.startswith(b'HTTP/1.1 200'), context.answer
-    assert context.answer.endswith(b'whole'), context.answer
+@then('the caller gets the complete response')
+def check_response(context):
+    assert context.response.startswith(b'HTTP/1.1 200'), context.response
+    assert context.response.endswith(b'whole'), context.response
 
 
 @given('a settings file that is {what}')
@@ -111,7 +113,7 @@
     context.address = _free_address()
     fields = {'entry': {'front': context.address}}
     _write(context, json.dumps(fields))
-    if what == 'not there':
+    if what == 'missing':
         context.path.unlink()
     elif what == 'written in YAML':
         context.path.write_text(yaml.safe_dump(fields))
@@ -120,8 +122,8 @@
     elif what.startswith('without'):
         context.path.write_text('{"entry": {}}')
     elif what.startswith('with an address'):
-        taken = listening.listen(context.address)
-        context.add_cleanup(taken.close)
+        listener = listening.listen(context.address)
+        context.add_cleanup(listener.close)
 
 
 @then('no socket listens early')
@@ -129,27 +131,27 @@
     assert listening.listen_early(str(context.path)) is None
 
 
-@given('the settings of an entry in both forms')
-def both_forms(context):
+@given('the settings of an entry in both formats')
+def both_formats(context):
     _write(context, json.dumps(ENTRY, indent=2))
     context.as_json = settings.load(context.path)
     context.path.write_text(yaml.safe_dump(ENTRY))
 
 
-@then('both are checked to the same settings')
+@then('both are loaded as the same settings')
 def same_settings(context):
     assert settings.load(context.path) == context.as_json
 
 
-@then('it is refused with its code and path')
-def refused(context):
+@then('it is rejected with the error code and its path')
+def check_rejected(context):
     try:
         settings.load(context.path)
     except errors.BadSettings as problem:
         assert str(context.path) in str(problem), problem
         assert problem.code == errors.BadSettings.code
         return
-    raise AssertionError('it was taken')
+    raise AssertionError('the file was accepted')
 
 
 @when('the platform starts the {role} with no settings file')
@@ -162,7 +164,7 @@
     )
 
 
-@then('it ends with the code of bad settings')
+@then('it ends with the error code of bad settings')
 def check_bad_settings(context):
-    told = context.ended.stderr
-    assert told.startswith(f'error {errors.BadSettings.code}:'), told
+    output = context.ended.stderr
+    assert output.startswith(f'error {errors.BadSettings.code}:'), output
