--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on suspended machines: two clocks, moved apart from each other."""
+"""Steps on suspended boxes, simulated by two clocks that diverge."""
 
 import pathlib
 import re
@@ -13,15 +13,15 @@
 from mountridge.logs import logger
 from mountridge.state import leases
 
-#: What reads a clock of the system past the one that all decide by.
+#: Reads of a system clock other than through the module `clocks`.
 READS = re.compile(
     r'\btime\.(monotonic|perf_counter|clock_gettime)\b|\bcurrent_time\('
 )
-#: The clocks themselves, and how many log lines a second are written.
+#: The module of the clocks, and the rate limit of log lines.
 MAY_READ = {'clocks.py', 'logs.py'}
 
 
-@then('only the clocks and the log read a clock of the system')
+@then('only the clocks and the log read a system clock')
 def check_sources(context):
     found = [
         f'{path}: {line}'
@@ -34,16 +34,16 @@
     assert not found, found
 
 
-class Readings:
-    """Real time, and a steady clock that stands still while suspended."""
+class Sources:
+    """Real time, and a monotonic clock that stops during suspensions."""
 
     def __init__(self):
-        self.real_s, self.steady_s = 1000.0, 400.0
-        self.late_s = 0.0  # the steady reading is taken so much later
+        self.real_s, self.monotonic_s = 1000.0, 400.0
+        self.delay_s = 0.0  # how much later the monotonic clock is read
 
     def sleep(self, span_s):
         self.real_s += span_s
-        self.steady_s += span_s
+        self.monotonic_s += span_s
 
     def suspend(self, span_s):
         self.real_s += span_s
@@ -52,103 +52,101 @@
         return clocks.Clock(
             on_gap,
             lambda: self.real_s,
-            lambda: self.steady_s + self.late_s,
+            lambda: self.monotonic_s + self.delay_s,
         )
 
 
-@given('a clock whose steady reading stands still while real time goes on')
+@given('a clock whose monotonic source stops during suspensions')
 def two_clocks(context):
-    context.readings, context.gaps = Readings(), []
-    context.clock = context.readings.clock(context.gaps.append)
+    context.sources, context.gaps = Sources(), []
+    context.clock = context.sources.clock(context.gaps.append)
 
 
-@when(
-    'it is looked at {steps:d} times over a suspension of {gap_s:g} s in all'
-)
+@when('it is read {steps:d} times during suspensions of {gap_s:g} s in total')
 def suspend_clock(context, steps, gap_s):
     context.begun_s = context.clock.now_s()
     for _ in range(steps):
-        context.readings.suspend(gap_s / steps)
+        context.sources.suspend(gap_s / steps)
         context.clock.now_s()
 
 
-@then('it has gone on by {gap_s:g} s, and {told} gap is told')
-def check_gap(context, gap_s, told):
+@then('it has advanced by {gap_s:g} s, and {count:d} gaps are reported')
+def check_gap(context, gap_s, count):
     assert abs(context.clock.now_s() - context.begun_s - gap_s) < 1e-9
-    assert len(context.gaps) == (told == 'a'), context.gaps
+    assert len(context.gaps) == count, context.gaps
     for gap in context.gaps:
         assert clocks.GAP_S < gap <= gap_s + 1e-9, context.gaps
 
 
-@when('its steady reading is taken 3 s late')
+@when('its monotonic source is read 3 s late')
 def read_late(context):
-    context.readings.late_s = 3.0
+    context.sources.delay_s = 3.0
     context.clock.now_s()
-    context.readings.late_s = 0.0
-    context.readings.sleep(10.0)
+    context.sources.delay_s = 0.0
+    context.sources.sleep(10.0)
     context.clock.now_s()
 
 
-@then('no gap is told, then or later')
+@then('no gap is reported, then or later')
 def check_no_gap(context):
     assert not context.gaps, context.gaps
 
 
-def _lines(context):
-    """Return the log lines that are written from now on."""
+def _record_warnings(context):
+    """Record the warnings that are logged from now on."""
     context.lines = []
 
-    def note(text, **fields):
+    def record(text, **fields):
         context.lines.append((text, fields))
 
     context.add_cleanup(setattr, logger, 'warning', logger.warning)
-    logger.warning = note
+    logger.warning = record
 
 
-@given('a process on such a clock')
+@given('a process with such a clock')
 def process(context):
-    _lines(context)
+    _record_warnings(context)
     world = system.World(None, 1)
     context.app = application.Application(world.settings('gateway', 'g1'))
-    context.readings, context.told = Readings(), []
-    context.app.clock = context.readings.clock(context.app.wake)
-    context.app.on_gap.append(context.told.append)
+    context.sources, context.reported = Sources(), []
+    context.app.clock = context.sources.clock(context.app.wake)
+    context.app.on_gap.append(context.reported.append)
 
 
-@when('it takes a lease of 3 s and is suspended for 4 s')
-def take_lease(context):
+@when('it gets a lease of 3 s and is suspended for 4 s')
+def get_lease(context):
     context.held = leases.HeldLease()
     sent_s = context.app.now_s()
     grant = messages.Grant(3.0, messages.Fence(1, 1), 1, False, [], [], {})
     assert context.held.take(grant, sent_s)
     assert context.held.valid(context.app.now_s())
-    context.readings.suspend(4.0)
+    context.sources.suspend(4.0)
 
 
-@then('its lease is over')
-def check_over(context):
+@then('its lease has expired')
+def check_expired(context):
     assert not context.held.valid(context.app.now_s())
 
 
-@then('the gap is logged, counted and told to what asked for it')
-def check_told(context):
-    assert context.told == [4.0], context.told
+@then('the gap is logged, counted and reported to its subscribers')
+def check_reported(context):
+    assert context.reported == [4.0], context.reported
     assert context.app.metrics.counts['clock.gaps'] == 1
     assert ('suspended', {'gap_ms': 4000}) in context.lines, context.lines
 
 
 @given(
-    '{gateways:d} gateways and {ranks:d} ranks of one group, on such a clock'
+    '{gateways:d} gateways and {ranks:d} ranks of one group, with such a clock'
 )
 def suspended_group(context, gateways, ranks):
     context.world = rests.World(gateways, ranks)
 
 
 @when(
-    '{count:d} requests of {span_s:g} s wait for a connection, and {slept_s:g}'
-    ' s are slept and noticed {when}'
+    '{count:d} requests of {span_s:g} s wait for a connection, and a'
+    ' suspension of {gap_s:g} s is detected {when}'
 )
-def sleep_through(context, count, span_s, slept_s, when):
+def suspend_requests(context, count, span_s, gap_s, when):
     world = context.world
     (runner,) = world.runners.values()
 
@@ -158,7 +156,7 @@
             for _ in range(count):
                 nursery.start_soon(world.ask, 'g0', round(span_s * 1000))
             await trio.sleep(0.1)
-            world.suspend(slept_s, is_noticed=when == 'at once')
+            world.suspend(gap_s, is_noticed=when == 'at once')
             context.woke_s = trio.current_time()
         context.took_s = trio.current_time() - context.woke_s
 
@@ -166,7 +164,8 @@
 
 
 @then(
-    'they are answered 504 within {within_s:g} s, and no runner has seen them'
+    'their status is 504 within {within_s:g} s, and no runner has received'
+    ' them'
 )
 def check_ended(context, within_s):
     statuses = [each.status for each in context.world.answers]
@@ -176,17 +175,18 @@
 
 
 @when(
-    'a rank asks for {rest_s:g} s of rest, and {slept_s:g} s are slept through'
+    'a rank requests a backoff of {backoff_s:g} s, and a suspension takes'
+    ' {gap_s:g} s'
 )
-def rest_and_sleep(context, rest_s, slept_s):
+def suspend_backoff(context, backoff_s, gap_s):
     world = context.world
     (runner,) = world.runners.values()
 
     async def script():
-        told = ((b'X-Not-Run', b'1'), (b'Retry-After', b'%g' % rest_s))
-        runner.answer = rests.Answer(503, told)
+        headers = ((b'X-Not-Run', b'1'), (b'Retry-After', b'%g' % backoff_s))
+        runner.answer = rests.Answer(503, headers)
         await world.ask('g0')
-        world.suspend(slept_s)
+        world.suspend(gap_s)
         runner.answer = rests.Answer()
         await trio.sleep(2 * rests.REPORT_S)
         await world.ask('g0')
