--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -42,7 +42,8 @@
     return list({**route, **over}.values())
 
 
-def _document(listed, version=1, teams=()):
+def _document(routes_given, version=1, teams=()):
+    listed = routes_given
     for route in listed:
         route[7] = [list(share.values()) for share in route[7]]
     service = ['s', '/health', 10, None]
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -70,10 +70,10 @@
         context.clock.now_s()
 
 
-@then('it has advanced by {gap_s:g} s, and {count:d} gaps are reported')
-def check_gap(context, gap_s, count):
+@then('it has advanced by {gap_s:g} s, and {number} gap is reported')
+def check_gap(context, gap_s, number):
     assert abs(context.clock.now_s() - context.begun_s - gap_s) < 1e-9
-    assert len(context.gaps) == count, context.gaps
+    assert len(context.gaps) == (number == 'a'), context.gaps
     for gap in context.gaps:
         assert clocks.GAP_S < gap <= gap_s + 1e-9, context.gaps
 
--- a/features/suspension.feature
+++ b/features/suspension.feature
@@ -6,14 +6,14 @@
   Scenario Outline: A process that is suspended for <gap_s> s within <steps> readings
     Given a clock whose monotonic source stops during suspensions
     When it is read <steps> times during suspensions of <gap_s> s in total
-    Then it has advanced by <gap_s> s, and <count> gaps are reported
+    Then it has advanced by <gap_s> s, and <number> gap is reported
 
     Examples:
-      | gap_s | steps | count |
-      | 6.0   | 1     | 1     |
-      | 0.3   | 1     | 1     |
-      | 0.1   | 1     | 0     |
-      | 0.5   | 10    | 1     |
+      | gap_s | steps | number |
+      | 6.0   | 1     | a      |
+      | 0.3   | 1     | a      |
+      | 0.1   | 1     | no     |
+      | 0.5   | 10    | a      |
 
   Scenario: A delay between the readings of the two sources is no suspension
     Given a clock whose monotonic source stops during suspensions
