--- a/features/steps/fault_steps.py
+++ b/features/steps/fault_steps.py
@@ -203,7 +203,7 @@
 @when('a process with an unknown key requests the state of "{name}"')
 def foreign_key(context, name):
     system = context.cluster
-    keys.make(str(system.folder / 'foreign'), ['stranger'])
+    keys.create_key_pairs(str(system.folder / 'foreign'), ['stranger'])
     for path in (system.folder / 'keys').glob('*.key'):
         shutil.copy(path, system.folder / 'foreign')
     system.add('gateway', 'stranger')
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -38,8 +38,8 @@
     def now_s(self):
         return trio.current_time()
 
-    def connect(self, address, peer, on_message=None, on_heard=None):
-        self.on_received[peer] = on_heard
+    def connect(self, address, peer, on_message=None, on_received=None):
+        self.on_received[peer] = on_received
         return types.SimpleNamespace(
             call=lambda message, timeout_s, late=None: self._answer(
                 peer, timeout_s
@@ -59,12 +59,12 @@
         return messages.Registered()
 
 
-@given('a leader that says nothing for 1 s, and two that do not lead')
+@given('a leader that is unresponsive for 1 s, and two other controllers')
 def unresponsive_leader(context):
     context.unresponsive_s = 1.0
 
 
-@when('calls go on meanwhile, and a late reply of it comes after 1 s')
+@when('calls continue meanwhile, and it sends a delayed reply after 1 s')
 def call_meanwhile(context):
     async def main():
         app = _UnresponsiveLeader(trio.current_time() + context.unresponsive_s)
@@ -88,7 +88,7 @@
     assert context.took_s < limit_s, context.took_s
 
 
-@given('an address whose queue of new connections is full')
+@given('an address with a full accept queue')
 def full_queue(context):
     listener = socket.socket()
     listener.bind(('127.0.0.1', 0))
@@ -120,20 +120,18 @@
     context.monitor = context.channel.socket.get_monitor_socket()
 
 
-@then('it begins the connection anew without waiting for the system')
+@then('it retries without waiting for the kernel')
 def check_reconnects(context):
     attempts = 0
     while attempts < 3:
-        assert context.monitor.poll(
-            GUARD_S * 1000
-        ), 'no further connection attempt'
+        assert context.monitor.poll(GUARD_S * 1000), 'it waits for ever'
         event = monitor.recv_monitor_message(context.monitor)
         attempts += event['event'] == zmq.EVENT_CONNECT_DELAYED
 
 
 @given(
-    'an entry with a grace of {grace_s:g} s whose addresses live'
-    ' for {ttl_s:g} s'
+    'an entry with a grace period of {grace_s:g} s and an address TTL'
+    ' of {ttl_s:g} s'
 )
 def make_entry(context, grace_s, ttl_s):
     context.entry = types.SimpleNamespace(
@@ -147,7 +145,7 @@
     )
 
 
-@when('it is told to stop with a request that never ends')
+@when('it is stopped while a request never ends')
 def stop_entry(context):
     async def main():
         drained = context.entry
@@ -155,40 +153,40 @@
 
         def close_idle():
             assert drained.forwarder.closed
-            context.closed_s = trio.current_time() - started_s
+            context.accept_s = trio.current_time() - started_s
 
         drained.front.close_idle = close_idle
         await entry.Entry.drain(drained)
-        context.ended_s = trio.current_time() - started_s
+        context.end_s = trio.current_time() - started_s
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-@then('it takes new requests for {taken_s:g} s and is over after {over_s:g} s')
-def check_stop(context, taken_s, over_s):
-    assert abs(context.closed_s - taken_s) < 0.01, context.closed_s
-    assert abs(context.ended_s - over_s) < 0.1, context.ended_s
+@then('it accepts new requests for {accept_s:g} s and ends after {end_s:g} s')
+def check_stop(context, accept_s, end_s):
+    assert abs(context.accept_s - accept_s) < 0.01, context.accept_s
+    assert abs(context.end_s - end_s) < 0.1, context.end_s
 
 
 FAULTS = {
-    'can not be reached': errors.NoRunner,
-    'gives no answer': errors.OutcomeUnknown,
-    'refuses what is asked': errors.RefusedChange,
+    'is unreachable': errors.NoRunner,
+    'does not respond': errors.OutcomeUnknown,
+    'rejects the order': errors.RefusedChange,
 }
 
 
 @given('an engine that {fault}')
 def faulty_engine(context, fault):
-    async def follow(order):
+    async def execute(order):
         raise FAULTS[fault]('as the scenario says')
 
-    context.engine = types.SimpleNamespace(follow=follow)
+    context.engine = types.SimpleNamespace(execute=execute)
 
 
-@when('an order is given to it')
+@when('an order is sent to it')
 def send_order(context):
     order = ranks.RankOrder(ranks.HOLD, 1, 2, 3, [])
-    context.reply = trio.run(sidecar.follow, context.engine, order)
+    context.reply = trio.run(sidecar.execute_order, context.engine, order)
 
 
 @then("the order's outcome is {outcome}")
--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -476,7 +476,7 @@
 class _Responder:
     """Records the response to a call."""
 
-    async def send_whole(self, status, headers, body):
+    async def send_response(self, status, headers, body):
         self.status, self.body = status, json.loads(body)
 
 
@@ -558,7 +558,7 @@
         assert len(json.dumps(response.body)) < 400, response.body
     counts = context.entry.app.metrics.counts
     assert counts == {f'runner.malformed.{cause}': 2}, counts
-    assert context.lines == 2 * ['runner word malformed'], context.lines
+    assert context.lines == 2 * ['malformed runner message'], context.lines
     assert context.world.machine.snapshot() == context.before
 
 
@@ -750,7 +750,7 @@
     context.now_s += 1
     context.counted = counted
     state = ranks.RankState('g', *numbers)
-    context.selections = trio.run(context.sidecar._fresh_counts, state)
+    context.selections = trio.run(context.sidecar._new_counts, state)
 
 
 @when('the engine resets its counters and reports 1 and 9')
--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -314,13 +314,13 @@
         ' with '
     )
     name, _, value = header.encode().partition(b': ')
-    head = dialects.read_reply(
+    head = dialects.read_reply_head(
         int(status), [(name, value)], dialects.NATIVE.headers
     )
     if span == 'invalid':
-        assert math.isnan(head.rest_s), head
+        assert math.isnan(head.backoff_s), head
     else:
-        assert head.rest_s == (None if span == 'no' else float(span)), head
+        assert head.backoff_s == (None if span == 'no' else float(span)), head
     assert head.is_leaving == (leaves == 'leaves'), head
 
 
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -43,7 +43,9 @@
 
     def _send_remote_order(self, remote):
         engine = self.world.remote_engine(remote.instance_id)
-        self.world.nursery.start_soon(sidecar.follow, engine, remote.order)
+        self.world.nursery.start_soon(
+            sidecar.execute_order, engine, remote.order
+        )
         return True
 
     def now_s(self):
@@ -68,7 +70,7 @@
 
     async def _push(self, number, message):
         await trio.sleep(0.002)
-        self.world.sidecars[number].take_push(message)
+        self.world.sidecars[number].on_push(message)
 
     async def propose(self, _payload):
         await trio.sleep(0.005)
@@ -101,7 +103,7 @@
     async def instance_id(self):
         return f'i-{self.number}'
 
-    async def follow(self, order):
+    async def execute(self, order):
         world = self.world
         await trio.sleep(0.001)
         if world.rng.random() >= world.order_loss:
@@ -163,7 +165,7 @@
         #: False at the end, so that the last change finishes and no pass is
         #: held for another one at the moment of the check.
         self.shifting = True
-        self.report_s = 0.5 if 'rest 0.5 s' in faults else 0.2
+        self.report_s = 0.5 if 'report each 0.5 s' in faults else 0.2
         #: Part of the leader's pushes that are lost.
         self.push_loss = 0.5 if 'pushes lost' in faults else 0.0
         self.sidecars = {}
@@ -206,7 +208,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(stand_in.run)
                 while self.leader is leader:
-                    await trio.sleep(remoteranks.LOOK_S)
+                    await trio.sleep(remoteranks.CHECK_S)
                 nursery.cancel_scope.cancel()
 
     def remote_engine(self, instance_id):
--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -83,7 +83,7 @@
         self.disk = storage.Storage(self._settings['data'])
         self.node = self._make_node()
         self.applied = self.node.commit_index
-        self._peers: dict[str, tuple[str, sockets.Caller]] = {}
+        self._peers: dict[str, tuple[str, sockets.Connection]] = {}
         #: Addresses for replies to controllers not in the configuration.
         self._reply_addresses: dict[str, str] = {}
         self._events: list[typing.Any] = []
--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -256,7 +256,7 @@
 
     async def announce_to_seeds(self) -> None:
         """While leading, send the list of controllers to the seeds."""
-        callers: dict[str, sockets.Caller] = {}
+        callers: dict[str, sockets.Connection] = {}
         while True:
             await trio.sleep(ANNOUNCE_INTERVAL_S)
             if not self.replica.lease_valid():
--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -67,7 +67,7 @@
         self._names = {configured[name]: name for name in sorted(configured)}
         self.seeds: list[str] = []
         self.update_seeds(app.settings)
-        self._callers: dict[str, sockets.Caller] = {}
+        self._callers: dict[str, sockets.Connection] = {}
         self._current = next(iter(self._names))
         self._unresponsive_until_s: dict[str, float] = {}
         #: Calls that wait for a reply, with their addresses.
@@ -99,7 +99,7 @@
             if address not in names:
                 self._callers.pop(address).close()
 
-    def _caller(self, address: str) -> sockets.Caller:
+    def _caller(self, address: str) -> sockets.Connection:
         if address not in self._callers:
 
             def on_receive() -> None:
--- a/standins/engineserver.py
+++ b/standins/engineserver.py
@@ -87,11 +87,11 @@
                 order = _ORDER.decode(request.body)
                 self.group.execute_order(number, order, trio.current_time())
             except errors.RefusedChange as problem:
-                await httpserver.refuse(responder, problem)
+                await httpserver.send_error(responder, problem)
                 return
         headers = [(NAMES.instance_id, b'i-%d' % number)]
         data = msgspec.json.encode(body)
-        await httpserver.json_reply(responder, 200, data, headers)
+        await httpserver.send_json(responder, 200, data, headers)
 
     async def _handle_request(self, number: int, request, responder) -> None:
         rank = self.group.ranks[number]
@@ -99,10 +99,10 @@
         headers = [(NAMES.request_id, request_id)]
         if len(rank.waiting) >= 2 * self.group.params.slots:
             headers.append((NAMES.not_run, b'1'))
-            await httpserver.json_reply(responder, 503, {}, headers)
+            await httpserver.send_json(responder, 503, {}, headers)
             return
         self.runs[request_id] = self.runs.get(request_id, 0) + 1
-        call = dialects.read_call(request, NAMES)
+        call = dialects.read_request_head(request, NAMES)
         first = int(call.last_event_id or 0)
         left = call.output_tokens - first * self.group.params.steps_per_pass
         sequence = engine.Sequence(call.prompt_tokens, max(1, left), first)
@@ -124,7 +124,7 @@
     async def _stream(self, number: int, sequence, responder, headers) -> None:
         faults = self.faults[number]
         if self.rng.random() < faults.errors:
-            await httpserver.json_reply(responder, 500, {}, headers)
+            await httpserver.send_json(responder, 500, {}, headers)
             return
         cut = self.rng.random() < faults.cut
         content_type = (b'Content-Type', b'text/event-stream')
@@ -173,7 +173,7 @@
             await trio.sleep_forever()
         status = 500 if self.rng.random() < self.faults.errors else 200
         body = {'by': self.number, 'path': request.path.decode()}
-        await httpserver.json_reply(responder, status, body, headers)
+        await httpserver.send_json(responder, status, body, headers)
 
 
 def heartbeat(
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -414,7 +414,7 @@
     Mutant(
         'entry: late heartbeats count', 'lives',
         'if received.seq < known.seq:', 'if False:',
-        'entry', 'heartbeat that comes late',
+        'entry', 'delayed heartbeat',
     ),
     Mutant(
         'entry: left runners come back', 'lives',
@@ -430,13 +430,13 @@
     Mutant(
         'entry: hung connections are waited for', 'sockets',
         'socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_MS)', '', 'entry',
-        'opening packet',
+        'SYN packet',
     ),
     Mutant(
         'entry: silence lasts though one is heard', 'members',
         '                self._unresponsive_until_s.pop(address, None)',
         '                pass', 'entry',
-        'heard of again',
+        'responds again',
     ),
     Mutant(
         'placing: others send nothing', 'backends',
@@ -617,7 +617,7 @@
     ),
     Mutant(
         'rests: none is heard', 'forwarding',
-        'if head.rest_s is not None:', 'if False:', 'rests',
+        'if head.backoff_s is not None:', 'if False:', 'rests',
     ),
     Mutant(
         'rests: no word of leaving is heard', 'forwarding',
@@ -670,7 +670,7 @@
     ),
     Mutant(
         'rests: an agent hears none', 'agent',
-        'if head.rest_s is not None:', 'if False:', 'rests', 'agent',
+        'if head.backoff_s is not None:', 'if False:', 'rests', 'agent',
     ),
     Mutant(
         'rests: an agent takes tickets in one', 'agent',
@@ -791,7 +791,7 @@
     ),
     Mutant(
         'quarantine: the view of it is not followed', 'entry',
-        '        self._follow_quarantine()\n', '', 'quarantine',
+        '        self._update_quarantine()\n', '', 'quarantine',
     ),
     Mutant(
         'last hop: how long connections are kept is not heard', 'lasthop',
@@ -1002,7 +1002,7 @@
     ),
     Mutant(
         'lives: counts anew are choices', 'sidecar',
-        'if min(fresh, default=0) < 0:',
+        'if min(new, default=0) < 0:',
         'if False:', 'lives',
     ),
     Mutant(
@@ -1206,8 +1206,8 @@
     ),
     Mutant(
         'halls: the view of halls is not followed', 'entry',
-        '        self._follow_halls()\n        self._follow_quarantine()',
-        '        self._follow_quarantine()', 'halls', 'Two halls',
+        '        self._update_halls()\n        self._update_quarantine()',
+        '        self._update_quarantine()', 'halls', 'Two halls',
     ),
     Mutant(
         'halls: a return is a wave', 'slowstart',
