--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The gateway: callers' HTTP, and a request's way through the process."""
+"""The gateway: HTTP for callers, and the processing of each request."""
 
 import json
 import math
@@ -27,7 +27,7 @@
 
 
 class Gateway:
-    """State of the gateway and the steps that each request takes."""
+    """State of a gateway and the steps of processing a request."""
 
     def __init__(self, app: application.Application):
         self.app = app
@@ -54,21 +54,21 @@
         if isinstance(message, messages.Changes):
             if self.held.apply_changes(message):
                 self.keeper.wake()
-                self.follow_view()
+                self.apply_view()
 
-    def follow_view(self, *_: typing.Any, **__: typing.Any) -> None:
-        """Bring what is derived from the view up to date."""
+    def apply_view(self, *_: typing.Any, **__: typing.Any) -> None:
+        """Update the state that is derived from the view."""
         if self.held.view.revision != self._view_revision:
             self._view_revision = self.held.view.revision
             self.dispatcher.update_members(self.members())
 
     def members(self) -> list[views.Member]:
-        """Return the members that the view names."""
+        """Return the members in the view."""
         packed = self.held.view.by_prefix('member/')
         return [views.unpack_member(value) for value in packed.values()]
 
     def renewal(self) -> messages.Renew:
-        """Return what the controllers are told at each renewal."""
+        """Return the request that renews the lease."""
         now_s = self.app.now_s()
         return messages.Renew(
             self.app.name,
@@ -87,8 +87,8 @@
         )
 
     async def hold_lease(self) -> None:
-        """Hold the lease while the gateway runs."""
-        signals.view_changed.connect(self.follow_view, sender=self.held)
+        """Renew the lease until the process stops."""
+        signals.view_changed.connect(self.apply_view, sender=self.held)
         await self.keeper.run()
 
     # Requests.
@@ -98,32 +98,32 @@
     ) -> tuple[attempts.Attempt, bytes]:
         """Pass a request through the filters and run it.
 
-        Returns at the first data of the answer, or with all of it where
-        ``whole``.
+        Returns the attempt and the first data of the answer, or the complete
+        answer if ``whole``.
         """
         try:
-            for each in self.filters:
-                each(exchange, self.app.now_s())
-            await self._take_share(exchange)
+            for apply_filter in self.filters:
+                apply_filter(exchange, self.app.now_s())
+            await self._admit(exchange)
             return await self.dispatcher.run(exchange, whole)
         except errors.MountridgeError as problem:
             if exchange.may_have_run and problem.outcome == errors.NOT_RUN:
-                # True of this sending, but the caller asks about its key.
+                # Another attempt under the same key may have run.
                 problem.outcome = errors.UNKNOWN
             raise
 
-    async def _take_share(self, exchange: exchanges.Exchange) -> None:
-        """Count the request against its row, asking for a share if due.
+    async def _admit(self, exchange: exchanges.Exchange) -> None:
+        """Count the request against the gateway's share of its row.
 
-        A gateway holds no share of a row that it had no requests for. So
-        the first one waits for a renewal of the lease, and for one more
-        where others must give some of theirs back first.
+        A gateway without recent requests for a row has no share of it. The
+        first request therefore waits for a renewal of the lease, and for a
+        second one if other gateways must release some of theirs first.
         """
         key = tables.row_key(exchange.row)
-        patience_s = min(
+        timeout_s = min(
             exchange.row.queue_s, 2 * self.app.settings['lease']['renew_s']
         )
-        with trio.move_on_after(patience_s):
+        with trio.move_on_after(timeout_s):
             while not self.limiter.has_share(key, self.held.shares):
                 self.limiter.record_waiting(key, self.app.now_s())
                 await self.keeper.renew_now()
@@ -140,7 +140,7 @@
         )
 
     def addresses(self) -> dict:
-        """Return the gateways that callers may use, the nearest first."""
+        """Return the addresses of live gateways, those in this hall first."""
         hall = self.app.settings['hall']
         live = [
             m
@@ -155,17 +155,17 @@
         }
 
     async def drain(self) -> None:
-        """Leave the list of addresses, wait for callers, end what runs.
+        """Withdraw from the list of addresses and complete all requests.
 
-        Callers keep an address for its time to live, so the gateway goes
-        on serving for that long after it has left the list.
+        Callers cache addresses for their time to live, so the gateway keeps
+        serving for that long after it is removed from the list.
         """
         self.draining = True
         logger.info('draining', open=self.open_requests)
         try:
             await self.leader.call(self.renewal(), 2.0)
         except errors.MountridgeError:
-            logger.warning('no controller heard of the planned stop')
+            logger.warning('no controller could be notified of the drain')
         await trio.sleep(self.settings['address_ttl_s'])
         while self.open_requests:
             await trio.sleep(DRAIN_POLL_S)
@@ -194,7 +194,7 @@
 
 
 def error_body(problem: errors.MountridgeError, request_id: str) -> dict:
-    """Return the JSON body of an error, in the shape clients know."""
+    """Return the JSON body of an error, in the format of the OpenAI API."""
     return {
         'error': {
             'message': str(problem),
@@ -225,9 +225,9 @@
 
 
 def _team(headers: typing.Mapping) -> str:
-    """Return the team that a request names, as a bearer token."""
-    given = headers.get('authorization', '')
-    scheme, _, token = given.partition(' ')
+    """Return the team of a request, which is its bearer token."""
+    authorization = headers.get('authorization', '')
+    scheme, _, token = authorization.partition(' ')
     if scheme.lower() == 'bearer' and token:
         return token.strip()
     raise errors.UnknownTeam('expected Authorization: Bearer TEAM')
@@ -238,19 +238,19 @@
     try:
         parsed = json.loads(body)
     except (ValueError, RecursionError):
-        raise errors.BadRequest('the body is not JSON')
+        raise errors.BadRequest('the request body is not valid JSON')
     if not isinstance(parsed, dict):
-        raise errors.BadRequest('expected a JSON object')
+        raise errors.BadRequest('the request body is not a JSON object')
     model = parsed.get('model')
     if not isinstance(model, str) or not model:
-        raise errors.BadRequest('expected a model')
+        raise errors.BadRequest('"model" is missing or not a string')
     if not isinstance(parsed.get('messages'), list):
-        raise errors.BadRequest('expected a list of messages')
+        raise errors.BadRequest('"messages" is missing or not a list')
     return model, parsed.get('stream') is True
 
 
 async def _stream(gateway: Gateway, exchange, attempt, first: bytes):
-    """Yield the answer; without its end, break the connection off."""
+    """Yield the answer; if it is incomplete, abort the connection."""
     try:
         data = first
         while data:
@@ -265,24 +265,24 @@
 
 
 def end_request(gateway: Gateway, exchange, attempt) -> None:
-    """Give back all that a request took; ``attempt`` may be None."""
+    """Release all resources of a request; ``attempt`` may be None."""
     if attempt is not None:
         gateway.dispatcher.finish(attempt)
     exchange.close()
     gateway.open_requests -= 1
 
 
-def _stream_kind(status: int) -> str:
+def _stream_content_type(status: int) -> str:
     """Return the content type of a streamed answer; errors are JSON."""
     return 'text/event-stream' if status == 200 else 'application/json'
 
 
-def _plain_service(path: str) -> str:
+def _service_in_path(path: str) -> str:
     return path.removeprefix(SERVICE_PATH).partition('/')[0]
 
 
 async def _answer(gateway: Gateway, path: str) -> quart.Response:
-    """Run one request and return its response, whatever happens."""
+    """Run one request and return its response, or an error response."""
     request = quart.request
     request_id = request.headers.get('x-request-id', '')[:64]
     request_id = request_id or f'{gateway.app.name}-{utils.fresh_id()}'
@@ -300,19 +300,22 @@
         if path == CHAT_PATH:
             exchange.service, streamed = _chat_model(exchange.body)
         else:
-            exchange.service = _plain_service(path)
+            exchange.service = _service_in_path(path)
         attempt, first = await gateway.begin(exchange, whole=not streamed)
         headers = {'x-request-id': request_id}
         if streamed:
             streaming = True
             body: typing.Any = _stream(gateway, exchange, attempt, first)
-            kind = _stream_kind(attempt.status)
+            content_type = _stream_content_type(attempt.status)
         else:
             body = first
             gateway.dispatcher.record_decision(exchange, 'end', errors.RAN)
-            kind = 'application/json'
+            content_type = 'application/json'
         response = quart.Response(
-            body, status=attempt.status, headers=headers, content_type=kind
+            body,
+            status=attempt.status,
+            headers=headers,
+            content_type=content_type,
         )
         response.timeout = None
         return response
@@ -325,7 +328,7 @@
 
 
 def make_http(gateway: Gateway) -> quart_trio.QuartTrio:
-    """Return the HTTP application that callers speak to."""
+    """Return the HTTP application for callers."""
     http = quart_trio.QuartTrio('mountridge')
     http.config['MAX_CONTENT_LENGTH'] = gateway.settings['body_bytes']
 
@@ -334,7 +337,7 @@
         return await _answer(gateway, CHAT_PATH)
 
     @http.post(SERVICE_PATH + '<path:rest>')
-    async def plain(rest: str):
+    async def service(rest: str):
         return await _answer(gateway, SERVICE_PATH + rest)
 
     @http.get('/v1/address')
@@ -344,8 +347,8 @@
     @http.get('/v1/models')
     async def models():
         team = _team(quart.request.headers)
-        listed = gateway.rows.services(team)
-        data = [{'id': name, 'object': 'model'} for name in listed]
+        names = gateway.rows.services(team)
+        data = [{'id': name, 'object': 'model'} for name in names]
         return {'object': 'list', 'data': data}
 
     @http.errorhandler(413)
@@ -353,7 +356,7 @@
         return _error_response(errors.TooLarge(), '', gateway)
 
     @http.errorhandler(errors.MountridgeError)
-    async def coded(problem):
+    async def known_error(problem):
         return _error_response(problem, '', gateway)
 
     return http
@@ -372,7 +375,7 @@
 
 
 def build(app: application.Application) -> Gateway:
-    """Return a gateway whose handlers, tasks and hooks are in ``app``."""
+    """Create a gateway and register its handlers and tasks in ``app``."""
     gateway = Gateway(app)
 
     def on_read_decisions(
