--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -60,8 +60,8 @@
         self.app = app
         self.settings = app.settings['agent']
         self.held = leases.HeldLease()
-        self.leader = members.LeaderClient(app, self._pushed)
-        self.keeper = members.LeaseRenewer(
+        self.leader = members.LeaderClient(app, self._on_push)
+        self.lease_renewer = members.LeaseRenewer(
             app, self.leader, self.held, self.renewal
         )
         self.tickets = tickets.TicketLog(app.incarnation)
@@ -79,10 +79,10 @@
 
     # Messages.
 
-    def _pushed(self, message: typing.Any) -> None:
+    def _on_push(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
             if self.held.apply_changes(message):
-                self.keeper.wake()
+                self.lease_renewer.wake()
                 self._follow_view()
 
     def on_watch_load(
@@ -450,7 +450,7 @@
     async def serve(self) -> None:
         """Hold the lease while the agent runs."""
         signals.view_changed.connect(self._follow_view, sender=self.held)
-        await self.keeper.run()
+        await self.lease_renewer.run()
 
     def dump(self) -> dict:
         """Return the state for `mountridge dump`."""
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -33,8 +33,8 @@
         self.app = app
         self.settings = app.settings['gateway']
         self.held = leases.HeldLease()
-        self.leader = members.LeaderClient(app, self._pushed)
-        self.keeper = members.LeaseRenewer(
+        self.leader = members.LeaderClient(app, self._on_push)
+        self.lease_renewer = members.LeaseRenewer(
             app, self.leader, self.held, self.renewal
         )
         self.limiter = limits.Limiter()
@@ -50,10 +50,10 @@
 
     # The view.
 
-    def _pushed(self, message: typing.Any) -> None:
+    def _on_push(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
             if self.held.apply_changes(message):
-                self.keeper.wake()
+                self.lease_renewer.wake()
                 self.apply_view()
 
     def apply_view(self, *_: typing.Any, **__: typing.Any) -> None:
@@ -89,7 +89,7 @@
     async def hold_lease(self) -> None:
         """Renew the lease until the process stops."""
         signals.view_changed.connect(self.apply_view, sender=self.held)
-        await self.keeper.run()
+        await self.lease_renewer.run()
 
     # Requests.
 
@@ -126,7 +126,7 @@
         with trio.move_on_after(timeout_s):
             while not self.limiter.has_share(key, self.held.shares):
                 self.limiter.record_waiting(key, self.app.now_s())
-                await self.keeper.renew_now()
+                await self.lease_renewer.renew_now()
         self.limiter.admit(key, self.held.shares.get(key), self.app.now_s())
         exchange.cleanups.append(lambda: self.limiter.release(key))
 
