--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -31,7 +31,7 @@
     def holders(self):
         for name, app in self.world.processes.items():
             if name[0] in 'ga':
-                yield name, app, self.world.daemons[name].held
+                yield name, app, self.world.daemons[name].lease
 
     def check(self):
         now_s = trio.current_time()
@@ -256,7 +256,7 @@
         await trio.sleep(2)
         result = await world.request(name, 'crews', 'drafts', 'after')
         context.after = result
-        held = world.daemons[name].held
+        held = world.daemons[name].lease
         context.version = _version(held)
 
     system_world.play_for(context, script)
--- a/features/steps/operation_steps.py
+++ b/features/steps/operation_steps.py
@@ -51,7 +51,7 @@
     for name in world.gateways:
         part = world.daemons[name]
         live = world.processes.get(name)
-        if live and part.held.is_valid(trio.current_time()):
+        if live and part.lease.is_valid(trio.current_time()):
             listed = sorted(
                 m.name
                 for m in part.members()
--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -59,10 +59,10 @@
     ):
         self.app = app
         self.settings = app.settings['agent']
-        self.held = leases.HeldLease()
+        self.lease = leases.HeldLease()
         self.leader = members.LeaderClient(app, self._on_push)
         self.lease_renewer = members.LeaseRenewer(
-            app, self.leader, self.held, self.renewal
+            app, self.leader, self.lease, self.renewal
         )
         self.tickets = tickets.TicketLog(app.incarnation)
         self.queue = queues.Queue(
@@ -81,7 +81,7 @@
 
     def _on_push(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
-            if self.held.apply_changes(message):
+            if self.lease.apply_changes(message):
                 self.lease_renewer.wake()
                 self._follow_view()
 
@@ -110,7 +110,7 @@
     def _admit(self, ticket: messages.Ticket, now_s: float) -> None:
         if self.draining:
             raise errors.Draining()
-        if not self.held.is_valid(now_s):
+        if not self.lease.is_valid(now_s):
             raise errors.NoLease()
         if not self.backoff_state.may_send(now_s):
             raise self._resting(now_s)
@@ -370,9 +370,9 @@
 
     def _takes_nothing(self) -> bool:
         now_s = self.app.now_s()
-        is_willing = self.held.is_valid(now_s) and self.backoff_state.may_send(
+        is_willing = self.lease.is_valid(
             now_s
-        )
+        ) and self.backoff_state.may_send(now_s)
         return self.draining or not is_willing
 
     async def report(self) -> None:
@@ -391,7 +391,7 @@
 
     def _follow_view(self, *_: typing.Any, **__: typing.Any) -> None:
         """Stop what was for gateways that have restarted since."""
-        for value in self.held.view.by_prefix('member/').values():
+        for value in self.lease.view.by_prefix('member/').values():
             member = views.unpack_member(value)
             if member.kind == 'gateway':
                 self.outbox.remove_earlier(member.name, member.incarnation)
@@ -424,7 +424,7 @@
             self.settings['services'],
             self.settings['expert_group'],
             self.settings['slots'],
-            self.held.view.index,
+            self.lease.view.index,
             self.draining,
             [],
             [],
@@ -449,7 +449,7 @@
 
     async def serve(self) -> None:
         """Hold the lease while the agent runs."""
-        signals.view_changed.connect(self._follow_view, sender=self.held)
+        signals.view_changed.connect(self._follow_view, sender=self.lease)
         await self.lease_renewer.run()
 
     def dump(self) -> dict:
@@ -459,8 +459,8 @@
             'running': len(self.queue.running),
             'waiting': len(self.queue),
             'draining': self.draining,
-            'lease_left_s': self.held.until_s - self.app.now_s(),
-            'index': self.held.view.index,
+            'lease_left_s': self.lease.until_s - self.app.now_s(),
+            'index': self.lease.view.index,
             'attempts': list(self.attempts),
             'mean_s': self.queue.mean_s,
             'counts': dict(self.app.metrics.counts),
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -32,17 +32,17 @@
     def __init__(self, app: application.Application):
         self.app = app
         self.settings = app.settings['gateway']
-        self.held = leases.HeldLease()
+        self.lease = leases.HeldLease()
         self.leader = members.LeaderClient(app, self._on_push)
         self.lease_renewer = members.LeaseRenewer(
-            app, self.leader, self.held, self.renewal
+            app, self.leader, self.lease, self.renewal
         )
         self.limiter = limits.Limiter()
-        self.rows = filters.Rows(self.held)
-        self.filters = filters.chain(self.held, self.rows)
+        self.rows = filters.Rows(self.lease)
+        self.filters = filters.chain(self.lease, self.rows)
         self.log = decisions.DecisionLog(app.name, self.settings['decisions'])
         self.dispatcher = dispatching.Dispatcher(
-            app, self.held, self.leader, self.log
+            app, self.lease, self.leader, self.log
         )
         self.draining = False
         self.open_requests = 0
@@ -52,19 +52,19 @@
 
     def _on_push(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
-            if self.held.apply_changes(message):
+            if self.lease.apply_changes(message):
                 self.lease_renewer.wake()
                 self.apply_view()
 
     def apply_view(self, *_: typing.Any, **__: typing.Any) -> None:
         """Update the state that is derived from the view."""
-        if self.held.view.revision != self._view_revision:
-            self._view_revision = self.held.view.revision
+        if self.lease.view.revision != self._view_revision:
+            self._view_revision = self.lease.view.revision
             self.dispatcher.update_members(self.members())
 
     def members(self) -> list[views.Member]:
         """Return the members in the view."""
-        packed = self.held.view.by_prefix('member/')
+        packed = self.lease.view.by_prefix('member/')
         return [views.unpack_member(value) for value in packed.values()]
 
     def renewal(self) -> messages.Renew:
@@ -80,15 +80,15 @@
             [],
             '',
             0,
-            self.held.view.index,
+            self.lease.view.index,
             self.draining,
             self.limiter.demand(now_s),
-            self.limiter.held(self.held.shares),
+            self.limiter.held(self.lease.shares),
         )
 
     async def hold_lease(self) -> None:
         """Renew the lease until the process stops."""
-        signals.view_changed.connect(self.apply_view, sender=self.held)
+        signals.view_changed.connect(self.apply_view, sender=self.lease)
         await self.lease_renewer.run()
 
     # Requests.
@@ -108,7 +108,7 @@
             return await self.dispatcher.run(exchange, whole)
         except errors.MountridgeError as problem:
             if exchange.may_have_run and problem.outcome == errors.NOT_RUN:
-                # Another attempt under the same key may have run.
+                # This one did not run, but an earlier one of its key may have.
                 problem.outcome = errors.UNKNOWN
             raise
 
@@ -124,10 +124,10 @@
             exchange.row.queue_s, 2 * self.app.settings['lease']['renew_s']
         )
         with trio.move_on_after(timeout_s):
-            while not self.limiter.has_share(key, self.held.shares):
+            while not self.limiter.has_share(key, self.lease.shares):
                 self.limiter.record_waiting(key, self.app.now_s())
                 await self.lease_renewer.renew_now()
-        self.limiter.admit(key, self.held.shares.get(key), self.app.now_s())
+        self.limiter.admit(key, self.lease.shares.get(key), self.app.now_s())
         exchange.cleanups.append(lambda: self.limiter.release(key))
 
     def refuse(
@@ -174,12 +174,12 @@
         """Return the state for `mountridge dump`."""
         now_s = self.app.now_s()
         return {
-            'lease_left_s': self.held.until_s - now_s,
-            'index': self.held.view.index,
+            'lease_left_s': self.lease.until_s - now_s,
+            'index': self.lease.view.index,
             'table_version': self.rows.version,
             'open_requests': self.open_requests,
             'members': [m._asdict() for m in self.members()],
-            'shares': [s._asdict() for s in self.held.shares.values()],
+            'shares': [s._asdict() for s in self.lease.shares.values()],
             'runners': {
                 name: {
                     'own': state.own,
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -295,7 +295,7 @@
     ),
     Mutant(
         'agents with no lease', 'agent',
-        'if not self.held.is_valid(now_s):', 'if False:', 'operations',
+        'if not self.lease.is_valid(now_s):', 'if False:', 'operations',
         'receives nothing from controllers',
     ),
     Mutant(
