--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The agent: the last hop before a runner, in the slot on its box."""
+"""The agent: queues requests for the runner on its box and forwards them."""
 
 import math
 import typing
@@ -16,41 +16,41 @@
 
 __all__ = ['Agent', 'build', 'run']
 
-#: An agent that has drained stays for this long: several times the way of a
-#: ticket, so that gateways that just heard of it are still answered.
+#: Time for which a drained agent still refuses tickets that were sent before
+#: their gateway was notified; several times the latency of a ticket.
 LINGER_S = 0.25
-#: Ended answers of claimed calls that can still be sent again.
-KEPT_ANSWERS = 1000
+#: Maximum number of ended attempts whose answers can be sent again.
+MAX_ENDED_ATTEMPTS = 1000
 OUTCOME_RETRY_S = 0.5
-#: The runner behind this agent has no id by which a later one is told from
-#: it. So long after its word that it leaves one request finds out: several
-#: times the 8 s that a planned stop may take by the defaults.
-LEAVING_S = 30.0
+#: Time after which a runner that announced its end is probed. Runners behind
+#: agents have no id, so only a request shows whether it has been replaced.
+#: Several times the grace period of a planned stop (`bounds.grace_s`).
+LEAVING_BACKOFF_S = 30.0
 
 
 class Attempt:
-    """One attempt at this agent: its ticket, where it goes, its answer."""
+    """One attempt at this agent: its ticket, its readers and its answer."""
 
     def __init__(self, ticket: messages.Ticket, route: bytes):
         self.ticket = ticket
-        #: Who gets the frames: route -> the attempt id known there.
+        #: Receivers of the frames: route -> the attempt id used there.
         self.readers: dict[bytes, str] = {route: ticket.attempt_id}
         self.scope = trio.CancelScope()
         self.position = 0
         self.status = 0
-        self.kept: list[bytes] = []
-        self.kept_bytes = 0
+        self.stored: list[bytes] = []
+        self.stored_bytes = 0
         self.last: messages.Frame | None = None
 
-    def keep(self, data: bytes, limit_bytes: int) -> None:
-        """Keep a piece of a claimed answer, for who asks for it again."""
-        if self.ticket.claim_key and self.kept_bytes < limit_bytes:
-            self.kept.append(data)
-            self.kept_bytes += len(data)
+    def store(self, data: bytes, limit_bytes: int) -> None:
+        """Store a piece of a claimed answer, so that it can be sent again."""
+        if self.ticket.claim_key and self.stored_bytes < limit_bytes:
+            self.stored.append(data)
+            self.stored_bytes += len(data)
 
 
 class Agent:
-    """State of the agent: its queue, its attempts, what is to be sent."""
+    """State of an agent: its queue, its attempts and its outbox."""
 
     def __init__(
         self,
@@ -71,9 +71,8 @@
         self.log = decisions.DecisionLog(app.name, self.settings['decisions'])
         self.attempts: dict[str, Attempt] = {}
         self.ended: dict[str, Attempt] = {}
-        self.outbox = outboxes.Outbox(app, self.load, self._lost)
+        self.outbox = outboxes.Outbox(app, self.load, self._drop_gateway)
         self.draining = False
-        #: What the runner asks of this agent for the time to come.
         self.backoff_state = backoffstates.BackoffState()
         self.upstream = upstream or upstreams.Upstream(self.settings['runner'])
 
@@ -83,12 +82,12 @@
         if isinstance(message, messages.Changes):
             if self.lease.apply_changes(message):
                 self.lease_renewer.wake()
-                self._follow_view()
+                self._apply_view()
 
     def on_watch_load(
         self, peer, message: messages.WatchLoad
     ) -> messages.Load:
-        """Tell a gateway the load, and report to it for a while."""
+        """Return the load, and send the gateway load reports for a while."""
         return self.load(self.outbox.link(peer.route))
 
     def on_ticket(self, peer, ticket: messages.Ticket) -> None:
@@ -100,11 +99,11 @@
             self._admit(ticket, now_s)
         except errors.MountridgeError as problem:
             self.app.metrics.incr(f'refused.{problem.code}')
-            self._note(ticket, 'refuse', str(problem), problem.code)
+            self._record_decision(ticket, 'refuse', str(problem), problem.code)
             self._fail(attempt, problem)
             return
         self.attempts[ticket.attempt_id] = attempt
-        self._note(ticket, 'accept', ticket.reason, 0)
+        self._record_decision(ticket, 'accept', ticket.reason, 0)
         self._start_next()
 
     def _admit(self, ticket: messages.Ticket, now_s: float) -> None:
@@ -113,7 +112,7 @@
         if not self.lease.is_valid(now_s):
             raise errors.NoLease()
         if not self.backoff_state.may_send(now_s):
-            raise self._resting(now_s)
+            raise self._backoff_error(now_s)
         self.tickets.accept(ticket, now_s)
         wait_s = min(ticket.queue_s, ticket.deadline_s)
         try:
@@ -131,21 +130,21 @@
             self.tickets.end(ticket.attempt_id, errors.NOT_RUN, now_s)
             raise
 
-    def _resting(self, now_s: float) -> errors.RunnersResting:
+    def _backoff_error(self, now_s: float) -> errors.RunnersResting:
         left_s = self.backoff_state.until_s - now_s
         return errors.RunnersResting(
-            f'its runner wants nothing for {left_s:.1f} s more',
+            f'the runner is backing off for another {left_s:.1f} s',
             retry_after_s=left_s,
         )
 
     def on_cancel(self, peer, message: messages.Cancel) -> None:
-        """Stop an attempt whose caller has gone, unless it is claimed."""
+        """Stop an attempt whose caller disconnected, unless it is claimed."""
         attempt = self.attempts.get(message.attempt_id)
         if attempt is not None:
-            self._drop_reader(attempt, peer.route)
+            self._remove_reader(attempt, peer.route)
 
-    def _drop_reader(self, attempt: Attempt, route: bytes) -> None:
-        """Stop an attempt that no one reads any more."""
+    def _remove_reader(self, attempt: Attempt, route: bytes) -> None:
+        """Remove a reader; stop an unclaimed attempt that has none left."""
         attempt.readers.pop(route, None)
         if attempt.readers or attempt.ticket.claim_key:
             return
@@ -158,7 +157,7 @@
     def on_revoke(
         self, peer, message: messages.Revoke
     ) -> messages.AttemptReply:
-        """Bar an attempt that has not begun, for good."""
+        """Permanently bar an attempt that has not begun."""
         outcome = errors.UNKNOWN
         if message.incarnation == self.app.incarnation:
             now_s = self.app.now_s()
@@ -171,15 +170,19 @@
     def on_attach(
         self, peer, message: messages.Attach
     ) -> messages.AttemptReply:
-        """Send the answer of an attempt, from its start, to the asker."""
+        """Send the answer of an attempt, from its start, to the sender.
+
+        The answer is `UNKNOWN` if the attempt is of another incarnation, is
+        not stored any more, or has a longer answer than is stored.
+        """
         attempt = self.attempts.get(message.attempt_id)
         attempt = attempt or self.ended.get(message.attempt_id)
         if message.incarnation != self.app.incarnation or not attempt:
             return messages.AttemptReply(message.attempt_id, errors.UNKNOWN)
-        if attempt.position > attempt.kept_bytes:
+        if attempt.position > attempt.stored_bytes:
             return messages.AttemptReply(message.attempt_id, errors.UNKNOWN)
         name = message.as_attempt_id
-        data = b''.join(attempt.kept)
+        data = b''.join(attempt.stored)
         frame = messages.Frame(
             name, 0, data, False, attempt.status, 0, '', 0.0
         )
@@ -194,14 +197,16 @@
     def on_read_decisions(
         self, peer, message: messages.ReadDecisions
     ) -> messages.DecisionsReply:
-        """Return decisions about a request, or the newest ones."""
+        """Return the decisions on a request, or the latest ones."""
         return messages.DecisionsReply(
             self.log.find(message.request_id, message.count)
         )
 
     # Running.
 
-    def _note(self, ticket, what: str, reason: str, code: int) -> None:
+    def _record_decision(
+        self, ticket, what: str, reason: str, code: int
+    ) -> None:
         self.log.add(
             ticket.request_id,
             what,
@@ -217,11 +222,11 @@
             if item is None:
                 return
             self.tickets.begin(item.attempt_id)
-            is_trial = self.backoff_state.begin_request()
+            is_probe = self.backoff_state.begin_request()
             attempt = self.attempts[item.attempt_id]
-            self.app.start_task(self._run, attempt, is_trial)
+            self.app.start_task(self._run, attempt, is_probe)
 
-    async def _run(self, attempt: Attempt, is_trial: bool) -> None:
+    async def _run(self, attempt: Attempt, is_probe: bool) -> None:
         ticket = attempt.ticket
         problem: errors.MountridgeError | None = None
         with attempt.scope:
@@ -233,7 +238,7 @@
             except errors.MountridgeError as failed:
                 problem = failed
         self.queue.release_slot(ticket.attempt_id, self.app.now_s())
-        if is_trial:
+        if is_probe:
             self.backoff_state.end_probe()
         if attempt.scope.cancelled_caught:
             problem = errors.RunnerFailed('cancelled by the caller')
@@ -243,7 +248,7 @@
         else:
             self._fail(attempt, problem)
             outcome = problem.outcome
-        self._note(ticket, 'end', str(problem or outcome), 0)
+        self._record_decision(ticket, 'end', str(problem or outcome), 0)
         self._finish(attempt, outcome)
 
     async def _relay(self, attempt: Attempt) -> None:
@@ -255,35 +260,36 @@
         async with self.upstream.request(
             ticket.path, headers, ticket.body
         ) as response:
-            self._hear(response.head)
+            self._apply_head(response.head)
             attempt.status = response.head.status
             async for data in response.pieces():
-                attempt.keep(data, self.settings['answer_bytes'])
+                attempt.store(data, self.settings['answer_bytes'])
                 self._send_frame(attempt, data)
 
-    def _hear(self, head: dialects.ReplyHead) -> None:
-        """Take what the runner says of itself.
+    def _apply_head(self, head: dialects.ReplyHead) -> None:
+        """Apply a requested backoff or an announced end of the runner.
 
-        :raises RunnerRefused: it says that it has not run the request.
+        :raises RunnerRefused: the runner reports that it did not run the
+            request.
         """
         now_s = self.app.now_s()
         if head.rest_s is not None:
-            self._rest(head.rest_s, now_s)
+            self._back_off(head.rest_s, now_s)
         elif head.is_leaving:
-            self._rest(LEAVING_S, now_s)
+            self._back_off(LEAVING_BACKOFF_S, now_s)
         elif not head.not_run and self.backoff_state.record_accepted(now_s):
             self._start_next()
         if head.not_run:
             raise errors.RunnerRefused(f'the runner answered {head.status}')
 
-    def _rest(self, span_s: float, now_s: float) -> None:
-        """Send nothing for a while; what waits goes to another agent."""
+    def _back_off(self, span_s: float, now_s: float) -> None:
+        """Back off, and refuse what is queued so that other agents run it."""
         self.backoff_state.back_off(span_s, now_s)
         self.app.metrics.incr('rest.asked')
         rest_ms = round((self.backoff_state.until_s - now_s) * 1000)
-        logger.info('runner asks for rest', rest_ms=rest_ms)
+        logger.info('runner requested a backoff', rest_ms=rest_ms)
         for item in self.queue.pop_expired(math.inf):
-            self._refuse(item.attempt_id, self._resting(now_s))
+            self._refuse(item.attempt_id, self._backoff_error(now_s))
         self.outbox.report_to_all()
 
     def _finish(self, attempt: Attempt, outcome: str) -> None:
@@ -292,21 +298,21 @@
         self.tickets.end(ticket.attempt_id, outcome, self.app.now_s())
         if ticket.claim_key:
             self.ended[ticket.attempt_id] = attempt
-            while len(self.ended) > KEPT_ANSWERS:
+            while len(self.ended) > MAX_ENDED_ATTEMPTS:
                 del self.ended[next(iter(self.ended))]
             self.app.start_task(self._report_outcome, attempt, outcome)
         self._start_next()
 
     async def _report_outcome(self, attempt: Attempt, outcome: str) -> None:
-        """Tell the controllers how a claimed attempt ended, until heard."""
-        ended_well = attempt.last is not None and not attempt.last.code
-        whole = ended_well and attempt.position == attempt.kept_bytes
+        """Report the outcome of a claimed attempt until it is acknowledged."""
+        succeeded = attempt.last is not None and not attempt.last.code
+        is_complete = succeeded and attempt.position == attempt.stored_bytes
         message = messages.Outcome(
             attempt.ticket.claim_key,
             attempt.ticket.attempt_id,
             outcome,
-            attempt.status if whole else 0,
-            b''.join(attempt.kept) if whole else b'',
+            attempt.status if is_complete else 0,
+            b''.join(attempt.stored) if is_complete else b'',
         )
         while True:
             try:
@@ -332,7 +338,7 @@
             0.0,
         )
         attempt.position += len(data)
-        self._spread(attempt, frame)
+        self._send_to_readers(attempt, frame)
 
     def _fail(self, attempt: Attempt, problem: errors.MountridgeError) -> None:
         frame = messages.Frame(
@@ -345,52 +351,54 @@
             str(problem),
             problem.retry_after_s or 0.0,
         )
-        self._spread(attempt, frame)
+        self._send_to_readers(attempt, frame)
 
-    def _spread(self, attempt: Attempt, frame: messages.Frame) -> None:
+    def _send_to_readers(
+        self, attempt: Attempt, frame: messages.Frame
+    ) -> None:
         if frame.end:
             attempt.last = frame
         for route, name in attempt.readers.items():
             self.outbox.put(route, frame._replace(attempt_id=name))
 
     def load(self, link: links.GatewayLink) -> messages.Load:
-        """Return the load as it is now, with the counts for a gateway."""
+        """Return the present load, with the message counts for a gateway."""
         return messages.Load(
             self.app.name,
             self.app.incarnation,
             len(self.queue.running),
             len(self.queue),
             self.queue.slots,
-            self._takes_nothing(),
+            self._is_unavailable(),
             self.app.now_s(),
             link.frames_seq,
             link.ticket_seq,
             link.ticket_count,
         )
 
-    def _takes_nothing(self) -> bool:
+    def _is_unavailable(self) -> bool:
         now_s = self.app.now_s()
-        is_willing = self.lease.is_valid(
-            now_s
-        ) and self.backoff_state.may_send(now_s)
-        return self.draining or not is_willing
+        may_accept = self.lease.is_valid(now_s) and (
+            self.backoff_state.may_send(now_s)
+        )
+        return self.draining or not may_accept
 
     async def report(self) -> None:
-        """Refuse what waited too long, and send load reports."""
+        """Refuse requests that waited too long, and send load reports."""
         while True:
             await trio.sleep(self.settings['report_s'])
             for item in self.queue.pop_expired(self.app.now_s()):
                 self._expire(item.attempt_id)
             self.outbox.report()
 
-    def _lost(self, route: bytes) -> None:
-        """Stop what was for a gateway that is gone, and for it alone."""
+    def _drop_gateway(self, route: bytes) -> None:
+        """Stop the attempts whose only reader was a removed gateway."""
         for attempt in list(self.attempts.values()):
             if route in attempt.readers:
-                self._drop_reader(attempt, route)
+                self._remove_reader(attempt, route)
 
-    def _follow_view(self, *_: typing.Any, **__: typing.Any) -> None:
-        """Stop what was for gateways that have restarted since."""
+    def _apply_view(self, *_: typing.Any, **__: typing.Any) -> None:
+        """Remove the earlier incarnations of gateways that restarted."""
         for value in self.lease.view.by_prefix('member/').values():
             member = views.unpack_member(value)
             if member.kind == 'gateway':
@@ -399,21 +407,25 @@
     def _expire(self, attempt_id: str) -> None:
         priority = self.attempts[attempt_id].ticket.priority
         wait_s = self.queue.expected_wait_s(priority)
-        self._refuse(attempt_id, errors.Busy('time in queue is over', wait_s))
+        self._refuse(
+            attempt_id, errors.Busy('the time in the queue expired', wait_s)
+        )
 
     def _refuse(
         self, attempt_id: str, problem: errors.MountridgeError
     ) -> None:
-        """Refuse what was accepted and has not begun."""
+        """Refuse an attempt that was accepted but has not begun."""
         attempt = self.attempts[attempt_id]
-        self._note(attempt.ticket, 'refuse', str(problem), problem.code)
+        self._record_decision(
+            attempt.ticket, 'refuse', str(problem), problem.code
+        )
         self._fail(attempt, problem)
         self._finish(attempt, errors.NOT_RUN)
 
     # Life cycle.
 
     def renewal(self) -> messages.Renew:
-        """Return what the controllers are told at each renewal."""
+        """Return the request that renews the lease."""
         return messages.Renew(
             self.app.name,
             'agent',
@@ -431,9 +443,9 @@
         )
 
     async def drain(self) -> None:
-        """Take nothing new, and wait for what runs and waits to end."""
+        """Refuse new tickets, and wait for accepted attempts to end."""
         self.draining = True
-        # Gateways hear it from here too, should the controllers be away.
+        # Notifies gateways even if no controller can be reached.
         self.outbox.report_to_all()
         logger.info('draining', attempts=len(self.attempts))
         with trio.move_on_after(self.settings['drain_s']):
@@ -443,13 +455,17 @@
             try:
                 await self.leader.call(self.renewal(), 1.0)
             except errors.MountridgeError as problem:
-                logger.warning('planned stop unheard', reason=str(problem))
-            # Tickets on their way are refused; past the end they are lost.
+                logger.warning(
+                    'no controller could be notified of the drain',
+                    reason=str(problem),
+                )
+            # Tickets under way are still refused; after the end of the
+            # process they would be lost.
             await trio.sleep(LINGER_S)
 
     async def serve(self) -> None:
-        """Hold the lease while the agent runs."""
-        signals.view_changed.connect(self._follow_view, sender=self.lease)
+        """Renew the lease until the process stops."""
+        signals.view_changed.connect(self._apply_view, sender=self.lease)
         await self.lease_renewer.run()
 
     def dump(self) -> dict:
@@ -471,7 +487,7 @@
     app: application.Application,
     upstream: upstreams.Upstream | None = None,
 ) -> Agent:
-    """Return an agent whose handlers, tasks and hooks are in ``app``."""
+    """Create an agent and register its handlers and tasks in ``app``."""
     agent = Agent(app, upstream)
     app.handlers[messages.WatchLoad] = agent.on_watch_load
     app.handlers[messages.Ticket] = agent.on_ticket
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -224,8 +224,8 @@
     ),
     Mutant(
         'cut answers kept as whole', 'agent',
-        'ended_well = attempt.last is not None and not attempt.last.code',
-        'ended_well = True', 'requests', 'not stored as',
+        'succeeded = attempt.last is not None and not attempt.last.code',
+        'succeeded = True', 'requests', 'not stored as',
     ),
     Mutant(
         'answers too large kept as empty', 'statemachine',
