--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -396,4 +396,4 @@
 @then('at most {most:d} load messages are sent per second in all')
 def check_loads_rate(context, most):
     assert context.gateways / context.interval_s <= most + 1e-6
-    assert controller.loads_interval_s(1) == controller.LOADS_S
+    assert controller.loads_interval_s(1) == controller.MIN_LOADS_INTERVAL_S
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The controller: the replicated state, leases, and what spreads from it.
+"""The controller: the replicated state, leases and pushes to their holders.
 
-Only the leader answers, and only while its own lease holds; what others
-ask is refused with the leader's name.
+Only the leader serves calls, and only while its own lease is valid; the other
+controllers refuse them with the name of the leader.
 """
 
 import pathlib
@@ -22,23 +22,21 @@
 
 __all__ = ['Controller', 'build', 'loads_interval_s', 'run']
 
-WATCH_S = 0.1
-#: Interval at which gateways get loads. Played on busy days, 0.25 s (with
-#: reports each 0.3 s) served 0.68 of the requests, 0.1 s (each 0.25 s) 0.78.
-LOADS_S = 0.05
-#: Messages of loads a second, whatever the number of gateways: 0.26 s apart
-#: for 103 of them. Each 0.05 s they were 2,060 of 4.4 KB, 80 Mbit/s at 192
-#: runners. In the model of placing, of 103 gateways 5 in 100 requests wait
-#: for a slot at 0.25 s and 9 at 0.5 s.
-LOADS_PER_S = 400
-EXPIRE_S = 30.0
-#: A gateway that has not renewed for so many of its intervals gives no
-#: orders: below the lease, after which it is none, above a late renewal.
-LATE_RENEWALS = 1.5
+WATCH_INTERVAL_S = 0.1
+#: Shortest interval between load messages to a gateway. Longer intervals
+#: noticeably reduce the number of requests that are served under load.
+MIN_LOADS_INTERVAL_S = 0.05
+#: Maximum rate of load messages to all gateways together; bounds the
+#: leader's network traffic in deployments with many gateways.
+MAX_LOADS_PER_S = 400
+CLAIM_EXPIRY_INTERVAL_S = 30.0
+#: Gateways that have not renewed for this many renewal intervals are avoided
+#: for remote orders. Tolerates a delayed renewal, and is shorter than a lease.
+RECENT_RENEWAL_INTERVALS = 1.5
 
 
 class Controller:
-    """State of a controller: the state machine and the leases granted."""
+    """State of a controller: the state machine and the granted leases."""
 
     def __init__(
         self,
@@ -58,23 +56,23 @@
         self.quarantine = quarantineoffice.QuarantineOffice(
             app, self.machine, self.replica, self.push
         )
-        #: What engines allow of expert maps, by runner; set by the entry.
+        #: Returns the engine parameters of a runner; set by the entry.
         self.sheet: typing.Callable = lambda instance_id: None
         self.groups = groups.Groups(
             app, self.replica, lambda instance_id: self.sheet(instance_id)
         )
         self.groups.send_remote_order = self.give_elsewhere
-        self.groups.registered_start_ms = self._born_ms
+        self.groups.registered_start_ms = self._registered_start_ms
         #: Incarnations that a later one of the same name has replaced.
         self._replaced: set[tuple[str, str]] = set()
 
-    def _born_ms(self, instance_id: str) -> int:
-        """Return the start of the life that is registered; 0: not told."""
-        held = self.machine.instances.get(instance_id)
-        return held.born_ms if held else 0
+    def _registered_start_ms(self, instance_id: str) -> int:
+        """Return when the registered incarnation started; 0 if unknown."""
+        instance = self.machine.instances.get(instance_id)
+        return instance.born_ms if instance else 0
 
     def on_role(self, role: consensus.RoleChanged) -> None:
-        """Begin a term with no knowledge of earlier leaders' leases."""
+        """Begin a term without the leases granted by earlier leaders."""
         self.leases = leases.LeaseTable(
             self.app.now_s(), self.app.settings['lease']['lease_s']
         )
@@ -85,17 +83,17 @@
         self.groups.begin_term()
 
     async def propose(self, command: commands.Command) -> typing.Any:
-        """Return the state machine's reply once a command is committed."""
+        """Commit a command and return the reply of the state machine."""
         return await self.replica.propose(commands.encode(command))
 
     # Leases.
 
     async def renew(self, peer, renew: messages.Renew) -> messages.Grant:
-        """Grant a lease with the changes and shares for its holder."""
+        """Grant a lease, with the view's changes and the holder's shares."""
         self.replica.check_leader()
         now_s = self.app.now_s()
         self._check_name(peer, renew.name)
-        await self._follow_member(renew)
+        await self._update_member(renew)
         self.replica.check_leader()
         view = self.machine.view
         self.leases.renew(peer.route, renew, view.index, now_s)
@@ -121,9 +119,11 @@
 
     def _check_name(self, peer, name: str) -> None:
         if peer.name and peer.name != name:
-            raise errors.RefusedChange(f'{peer.name} renews for {name}')
+            raise errors.RefusedChange(
+                f'{peer.name} may not renew the lease of {name}'
+            )
 
-    async def _follow_member(self, renew: messages.Renew) -> None:
+    async def _update_member(self, renew: messages.Renew) -> None:
         member = views.Member(
             renew.name,
             renew.kind,
@@ -137,22 +137,24 @@
             'leaving' if renew.leaving else 'live',
         )
         if (renew.name, renew.incarnation) in self._replaced:
-            raise errors.StaleIncarnation('a later incarnation is known')
+            raise errors.StaleIncarnation('a later incarnation has renewed')
         known = self.machine.members_by_name.get(renew.name)
         if known and known.incarnation != renew.incarnation:
             self._replaced.add((renew.name, known.incarnation))
         if known != member:
-            logger.info('member', member=renew.name, state=member.state)
+            logger.info(
+                'member changed', member=renew.name, state=member.state
+            )
             await self.propose(commands.SetMember(member, self.app.wall_s()))
 
     async def watch(self) -> None:
-        """Note members whose lease has run out, and push changes."""
+        """Remove members whose lease has expired, and push changes."""
         while True:
-            await trio.sleep(WATCH_S)
+            await trio.sleep(WATCH_INTERVAL_S)
             if not self.replica.lease_valid():
                 continue
             try:
-                await self._lose_lapsed()
+                await self._remove_expired_members()
                 await self.registry.expire()
                 await self.quarantine.expire()
             except errors.MountridgeError as problem:
@@ -160,33 +162,35 @@
                 continue
             self.push()
 
-    async def _lose_lapsed(self) -> None:
-        """Note who holds no lease: lapsed, or never renewed here."""
+    async def _remove_expired_members(self) -> None:
+        """Remove members without a lease, even if none was granted here."""
         now_s = self.app.now_s()
         for name in self.leases.remove_expired(now_s):
             rows = self.machine.rows_by_key
             self.apportioner.remove_gateway(name, rows, now_s)
         if now_s < self.leases.quiet_until_s:
             return
-        # At once: one by one, those of a whole hall would take a sync each.
+        # Concurrently, so that the members of a hall share disk syncs.
         async with trio.open_nursery() as nursery:
             for name in list(self.machine.members_by_name):
                 if name not in self.leases.holders:
-                    nursery.start_soon(self._lose, name)
+                    nursery.start_soon(self._remove_member, name)
 
-    async def _lose(self, name: str) -> None:
+    async def _remove_member(self, name: str) -> None:
         member = self.machine.members_by_name[name]
-        logger.info('member', member=name, state='gone')
+        logger.info('member changed', member=name, state='gone')
         gone = member._replace(state='gone')
         try:
             await self.propose(commands.SetMember(gone, self.app.wall_s()))
         except errors.MountridgeError as problem:
-            logger.debug('member not lost', member=name, reason=str(problem))
+            logger.debug(
+                'member not removed', member=name, reason=str(problem)
+            )
 
-    async def expire(self) -> None:
-        """Forget old claims now and then."""
+    async def expire_claims(self) -> None:
+        """Periodically remove old claims."""
         while True:
-            await trio.sleep(EXPIRE_S)
+            await trio.sleep(CLAIM_EXPIRY_INTERVAL_S)
             keep_s = self.settings['claim_keep_s']
             command = commands.ExpireClaims(keep_s, self.app.wall_s())
             try:
@@ -195,7 +199,7 @@
                 continue
 
     def push(self) -> None:
-        """Send each holder the changes that it has not been sent."""
+        """Send each lease holder the changes that it has not been sent."""
         view = self.machine.view
         for name, holder in self.leases.holders.items():
             if holder.sent_index >= view.index:
@@ -212,16 +216,18 @@
             if self.app.send(holder.route, pushed):
                 self.leases.record_sent(name, view.index)
 
-    async def tell_loads(self) -> None:
-        """Tell gateways what sidecars have reported, while leading."""
+    async def push_loads(self) -> None:
+        """Send gateways the loads that sidecars reported, while leading."""
         while True:
             routes = self._gateway_routes()
             await trio.sleep(loads_interval_s(len(routes)))
             if not self.replica.lease_valid():
                 continue
-            told = self.groups.pop_loads()
-            if told:
-                self.app.send_all(self._gateway_routes(), messages.Loads(told))
+            loads = self.groups.pop_loads()
+            if loads:
+                self.app.send_all(
+                    self._gateway_routes(), messages.Loads(loads)
+                )
 
     def _gateway_routes(self) -> list[bytes]:
         return [
@@ -231,28 +237,35 @@
         ]
 
     def give_elsewhere(self, order: messages.RemoteOrder) -> bool:
-        """Let a gateway give an order; false where none can be told.
+        """Have a gateway send an order to a runner's engine.
 
-        Gateways that renewed of late come first: of a hall that is lost or
-        cut off none does. Of these those that are no controllers, in turn,
-        so that the loss of the one that gives it costs no election.
+        Returns False if there is no gateway to send it. Gateways that
+        renewed recently are preferred, because those of a failed or
+        unreachable hall have not. Among these, gateways on boxes without a
+        controller are preferred. They are used in rotation.
         """
         controllers = members.addresses_by_name(
             self.replica.node.config.addresses()
         )
         now_s = self.app.now_s()
-        late_s = LATE_RENEWALS * self.app.settings['lease']['renew_s']
+        recent_s = (
+            RECENT_RENEWAL_INTERVALS * self.app.settings['lease']['renew_s']
+        )
         ranked: dict[tuple[bool, bool], list[str]] = {}
         for name, holder in sorted(self.leases.holders.items()):
             if holder.renew.kind == 'gateway' and not holder.renew.leaving:
-                is_late = not self.leases.renewed_recently(name, late_s, now_s)
+                is_late = not self.leases.renewed_recently(
+                    name, recent_s, now_s
+                )
                 rank = (is_late, name in controllers)
                 ranked.setdefault(rank, []).append(name)
         if not ranked:
             return False
         names = ranked[min(ranked)]
         name = names[order.order.version % len(names)]
-        logger.info('order by another box', box=name, **_told(order))
+        logger.info(
+            'order sent through a gateway', box=name, **_order_fields(order)
+        )
         return self.app.send(self.leases.holders[name].route, order)
 
     # Operators and claims.
@@ -260,7 +273,7 @@
     async def put(
         self, peer, put: messages.PutTable
     ) -> messages.PutTableReply:
-        """Take a new table."""
+        """Commit a new version of the table."""
         self.replica.check_leader()
         return await self.propose(
             commands.PutTable(
@@ -273,7 +286,7 @@
         )
 
     async def table(self, peer, _: messages.ReadTable) -> messages.TableReply:
-        """Return the newest table, its log, and what is in force."""
+        """Return the newest table, its versions, and what is in force."""
         await self.replica.confirm_leadership()
         now_s = self.app.now_s()
         machine = self.machine
@@ -292,13 +305,14 @@
     async def put_routes(
         self, peer, put: messages.PutRoutes
     ) -> messages.RoutesReply:
-        """Hold a routes document where its version is the highest."""
+        """Commit a routes document if its version is the highest."""
         self.replica.check_leader()
         if put.version <= self.machine.routes_version:
-            # Held already, or overtaken: confirmed, but not written again.
+            # A repetition, or an outdated document: only confirm the
+            # leadership, so that the reply names a committed version.
             await self.replica.confirm_leadership()
             return messages.RoutesReply(self.machine.routes_version, b'')
-        logger.info('routes offered', version=put.version)
+        logger.info('routes document received', version=put.version)
         reply = await self.propose(
             commands.PutRoutes(put.version, put.source, self.app.wall_s())
         )
@@ -308,12 +322,12 @@
     async def read_routes(
         self, peer, _: messages.ReadRoutes
     ) -> messages.RoutesReply:
-        """Return the newest routes document, confirmed by a quorum."""
+        """Return the newest routes document, after a quorum confirmed it."""
         await self.replica.confirm_leadership()
         return self.machine.routes()
 
     async def claim(self, peer, claim: messages.Claim) -> messages.ClaimReply:
-        """Grant or show the claim for a key."""
+        """Grant the claim for a key, or return the existing one."""
         self.replica.check_leader()
         key_s = claims.key_time(claim.key.rpartition('/')[2])
         return await self.propose(
@@ -321,7 +335,7 @@
         )
 
     async def outcome(self, peer, outcome: messages.Outcome):
-        """Keep the end of a claimed attempt."""
+        """Record the outcome of a claimed attempt."""
         self.replica.check_leader()
         return await self.propose(
             commands.CloseClaim(outcome, self.app.wall_s())
@@ -330,8 +344,8 @@
     async def list_members(self, peer, _: messages.ReadMembers):
         """Return the members that are live or leaving."""
         self.replica.check_leader()
-        listed = [m._asdict() for m in self.machine.members_by_name.values()]
-        return messages.MembersReply(listed)
+        found = [m._asdict() for m in self.machine.members_by_name.values()]
+        return messages.MembersReply(found)
 
     def dump(self) -> dict:
         """Return the state for `mountridge dump`."""
@@ -358,11 +372,11 @@
 
 
 def loads_interval_s(gateways: int) -> float:
-    """Return the time between two messages of loads to each gateway."""
-    return max(LOADS_S, gateways / LOADS_PER_S)
+    """Return the interval between load messages to each gateway."""
+    return max(MIN_LOADS_INTERVAL_S, gateways / MAX_LOADS_PER_S)
 
 
-def _told(remote: messages.RemoteOrder) -> dict:
+def _order_fields(remote: messages.RemoteOrder) -> dict:
     """Return the fields of a log line on an order."""
     order = remote.order
     return {
@@ -377,9 +391,9 @@
     app: application.Application,
     make_replica: typing.Callable = replicas.Replica,
 ) -> Controller:
-    """Return a controller whose handlers and tasks are in ``app``."""
+    """Create a controller and register its handlers and tasks in ``app``."""
     controller = Controller(app, make_replica)
-    office = changes.Changes(app, controller.replica)
+    admin = changes.Changes(app, controller.replica)
     app.handlers[messages.Renew] = controller.renew
     app.handlers[messages.PutTable] = controller.put
     app.handlers[messages.ReadTable] = controller.table
@@ -396,13 +410,13 @@
     app.handlers[messages.Outcome] = controller.outcome
     app.handlers[messages.ReadMembers] = controller.list_members
     app.handlers[messages.Raft] = controller.replica.on_raft
-    app.handlers[messages.Admin] = office.on_admin
+    app.handlers[messages.Admin] = admin.on_admin
     app.handlers[messages.FindLeader] = leadership.Leadership(
         app, controller.replica
     ).on_find_leader
     app.tasks += [controller.replica.run, controller.watch]
     app.handlers[messages.RankReport] = controller.groups.on_report
-    app.tasks += [controller.expire, controller.tell_loads]
+    app.tasks += [controller.expire_claims, controller.push_loads]
     app.drain.append(controller.replica.transfer_leadership)
     app.dumpers['controller'] = controller.dump
     return controller
@@ -411,13 +425,13 @@
 def run(settings: dict) -> None:
     """Run a controller until it is stopped.
 
-    An empty data folder gets a fresh identity, which is no voter's: the
-    operators add it as a learner.
+    An empty data folder is initialized with a new node id. As no voter has
+    this id, an operator must add the controller as a learner.
     """
     data = settings['controller']['data']
     if not (pathlib.Path(data) / 'format').exists():
-        fresh = f'{settings["name"]}.{utils.fresh_id()}'
-        storage.initialize(data, fresh, entries.Config({}, {}))
+        node_id = f'{settings["name"]}.{utils.fresh_id()}'
+        storage.initialize(data, node_id, entries.Config({}, {}))
     app = application.Application(settings)
     build(app)
     trio.run(app.run)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1123,13 +1123,13 @@
     ),
     Mutant(
         'losses: boxes of a lost hall are noted one by one', 'controller',
-        'nursery.start_soon(self._lose, name)', 'await self._lose(name)',
-        'losses', 'A large hall',
+        'nursery.start_soon(self._remove_member, name)',
+        'await self._remove_member(name)', 'losses', 'A large hall',
     ),
     Mutant(
         'losses: orders go to boxes of a hall that is cut off', 'controller',
-        'is_late = not self.leases.renewed_recently(name, late_s, now_s)',
-        'is_late = False', 'losses', 'Orders to ranks',
+        'rank = (is_late, name in controllers)',
+        'rank = (False, name in controllers)', 'losses', 'Orders to ranks',
     ),
     Mutant(
         'lives: late counts that change nothing are heard', 'registry',
