--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -728,7 +728,7 @@
         for number in range(count):
             order = ranks.RankOrder(ranks.HOLD, 1, 2, 3, [])
             order = order._replace(version=number)
-            office.give_elsewhere(messages.RemoteOrder('r', order))
+            office.send_remote_order(messages.RemoteOrder('r', order))
         context.cut = world.in_hall(hall)
         # The leases of those still run.
         assert set(context.cut) <= set(office.leases.holders)
--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -61,7 +61,7 @@
         self.groups = groups.Groups(
             app, self.replica, lambda instance_id: self.sheet(instance_id)
         )
-        self.groups.send_remote_order = self.give_elsewhere
+        self.groups.send_remote_order = self.send_remote_order
         self.groups.registered_start_ms = self._registered_start_ms
         #: Incarnations that a later one of the same name has replaced.
         self._replaced: set[tuple[str, str]] = set()
@@ -236,7 +236,7 @@
             if holder.renew.kind == 'gateway'
         ]
 
-    def give_elsewhere(self, order: messages.RemoteOrder) -> bool:
+    def send_remote_order(self, order: messages.RemoteOrder) -> bool:
         """Have a gateway send an order to a runner's engine.
 
         Returns False if there is no gateway to send it. Gateways that
