--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -57,9 +57,11 @@
             app, self.machine, self.replica, self.push
         )
         #: Returns the engine parameters of a runner; set by the entry.
-        self.sheet: typing.Callable = lambda instance_id: None
+        self.engine_parameters: typing.Callable = lambda instance_id: None
         self.groups = groups.Groups(
-            app, self.replica, lambda instance_id: self.sheet(instance_id)
+            app,
+            self.replica,
+            lambda instance_id: self.engine_parameters(instance_id),
         )
         self.groups.send_remote_order = self.send_remote_order
         self.groups.registered_start_ms = self._registered_start_ms
--- a/mountridge/entrycontroller.py
+++ b/mountridge/entrycontroller.py
@@ -62,7 +62,7 @@
             engine.places, engine.spare, engine.experts, engine.copy_s
         )
 
-    made.sheet = sheet
+    made.engine_parameters = sheet
 
     def names_service(service: str) -> bool:
         """Return whether routes name a service, or there are none yet."""
