--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -111,7 +111,7 @@
     world = system.World(None, 1)
     context.app = application.Application(world.settings('gateway', 'g1'))
     context.readings, context.told = Readings(), []
-    context.app.clock = context.readings.clock(context.app.wake)
+    context.app.clock = context.readings.clock(context.app.report_suspension)
     context.app.on_gap.append(context.told.append)
 
 
--- a/mountridge/application.py
+++ b/mountridge/application.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The life of a process: start hooks, tasks, planned stop, stop hooks."""
+"""The life cycle of a daemon: tasks, message handlers and planned stop."""
 
 import functools
 import inspect
@@ -17,7 +17,7 @@
 
 __all__ = ['Application']
 
-#: How long unsent messages may hold up the end of the process.
+#: Maximum time for which unsent messages delay the end of the process.
 LINGER_MS = 100
 
 Task = typing.Callable[[], typing.Awaitable[None]]
@@ -25,7 +25,7 @@
 
 
 class Peer(typing.NamedTuple):
-    """Who sent a message, and how a reply finds its way back."""
+    """The sender of a message, and how to reply to it."""
 
     route: bytes
     seq: int
@@ -33,23 +33,23 @@
 
 
 class Application:
-    """One daemon: its settings, its bound channel, its tasks and hooks.
+    """A daemon: its settings, bound channel, tasks, handlers and hooks.
 
     `handlers` maps a message type to a function of (peer, message) whose
-    result, where not None, is sent back as the reply. `drain` hooks run on
-    a planned stop before the tasks are cancelled; `dumpers` give the parts
-    of the state that `mountridge dump` shows.
+    result, unless None, is sent back as the reply. `drain` hooks run on a
+    planned stop, before the tasks are cancelled. `dumpers` return the parts
+    of the state that `mountridge dump` prints.
     """
 
     def __init__(self, settings: dict):
         self.settings = settings
         self.name = settings['name']
-        #: Another one at each start: what was before is not carried on.
+        #: Identifies this run of the process; state of others is void.
         self.incarnation = utils.fresh_id()
         self.metrics = metrics.open_metrics(settings)
-        self.clock = clocks.Clock(self.wake)
-        #: Called with the seconds for which this process was suspended,
-        #: before anything is decided after that.
+        self.clock = clocks.Clock(self.report_suspension)
+        #: Called after a suspension of the machine, with its duration in
+        #: seconds, before the new time is used.
         self.on_gap: list[typing.Callable[[float], None]] = []
         self.handlers: dict[type, Handler] = {
             messages.Dump: self._dump,
@@ -71,30 +71,30 @@
         return zmq.Context(io_threads=1)
 
     def now_s(self) -> float:
-        """Return the time that deciding functions take; it never goes back.
+        """Return the monotonic time that is passed as ``now_s``.
 
-        It counts the time for which the machine was suspended.
+        It includes the time for which the machine was suspended.
         """
         return self.clock.now_s()
 
-    def wake(self, gap_s: float) -> None:
-        """Tell all that was made before a suspension of ``gap_s``."""
+    def report_suspension(self, gap_s: float) -> None:
+        """Log a suspension of ``gap_s`` and call the hooks for it."""
         self.metrics.incr('clock.gaps')
         logger.warning('suspended', gap_ms=round(gap_s * 1000))
         for hook in self.on_gap:
             hook(gap_s)
 
     def wall_s(self) -> float:
-        """Return the wall clock, for records and the age of keys."""
+        """Return the Unix time, for records and the age of keys."""
         return time.time()
 
     def open_router(self) -> sockets.Channel:
-        """Return the channel on which other processes reach this one."""
+        """Return the bound channel on which this process receives calls."""
         return sockets.router(self.context, self.settings)
 
     def open_dealer(self, address: str, peer: str) -> sockets.Channel:
         """Return a channel to the process ``peer`` at ``address``."""
-        # Of its own for each connection, or one would take another's place.
+        # Identities must be unique: routers keep one connection for each.
         self._dealers += 1
         identity = f'{self.name}.{self.incarnation}.{self._dealers}'
         return sockets.dealer(
@@ -125,7 +125,7 @@
             self.channel.send([route, data])
 
     def reply(self, peer: Peer, message: typing.Any) -> bool:
-        """Answer the message that came from ``peer``."""
+        """Reply to the message that was received from ``peer``."""
         return self.send(peer.route, message, peer.seq)
 
     def start_task(self, task: typing.Callable, *args: typing.Any) -> None:
@@ -188,12 +188,12 @@
                     self.stopping.set()
 
     def _reload(self) -> None:
-        logger.info('asked to reload')
+        logger.info('reloading the settings')
         for hook in self.reload:
             hook()
 
     async def run(self) -> None:
-        """Run until a planned stop is asked for and has been drained."""
+        """Run until a planned stop is requested and the drain is complete."""
         self.channel = self.open_router()
         try:
             async with trio.open_nursery() as nursery:
@@ -203,9 +203,13 @@
                 signals.started.send(self)
                 logger.info('started')
                 if not clocks.counts_suspension:
-                    lacking = errors.NoRealClock()
-                    reason = str(lacking)
-                    logger.warning('clock', code=lacking.code, reason=reason)
+                    problem = errors.NoRealClock()
+                    reason = str(problem)
+                    logger.warning(
+                        'clock ignores suspensions',
+                        code=problem.code,
+                        reason=reason,
+                    )
                 await self.stopping.wait()
                 logger.info('stopping')
                 for hook in self.drain:
@@ -236,7 +240,7 @@
 
 
 def _peer_name(frame: zmq.Frame) -> str:
-    """Return the name that the peer's key stands for, '' without keys."""
+    """Return the name that the peer's key authenticates, '' without keys."""
     try:
         return frame.get('User-Id')
     except zmq.ZMQError:
