--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -48,9 +48,9 @@
     def suspend(self, span_s):
         self.real_s += span_s
 
-    def clock(self, on_gap):
+    def clock(self, on_suspension):
         return clocks.Clock(
-            on_gap,
+            on_suspension,
             lambda: self.real_s,
             lambda: self.steady_s + self.late_s,
         )
@@ -77,7 +77,7 @@
     assert abs(context.clock.now_s() - context.begun_s - gap_s) < 1e-9
     assert len(context.gaps) == (told == 'a'), context.gaps
     for gap in context.gaps:
-        assert clocks.GAP_S < gap <= gap_s + 1e-9, context.gaps
+        assert clocks.MIN_SUSPENSION_S < gap <= gap_s + 1e-9, context.gaps
 
 
 @when('its steady reading is taken 3 s late')
@@ -112,7 +112,7 @@
     context.app = application.Application(world.settings('gateway', 'g1'))
     context.readings, context.told = Readings(), []
     context.app.clock = context.readings.clock(context.app.report_suspension)
-    context.app.on_gap.append(context.told.append)
+    context.app.on_suspension.append(context.told.append)
 
 
 @when('it takes a lease of 3 s and is suspended for 4 s')
--- a/mountridge/application.py
+++ b/mountridge/application.py
@@ -50,7 +50,7 @@
         self.clock = clocks.Clock(self.report_suspension)
         #: Called after a suspension of the machine, with its duration in
         #: seconds, before the new time is used.
-        self.on_gap: list[typing.Callable[[float], None]] = []
+        self.on_suspension: list[typing.Callable[[float], None]] = []
         self.handlers: dict[type, Handler] = {
             messages.Dump: self._dump,
             messages.Stop: self._stop,
@@ -81,7 +81,7 @@
         """Log a suspension of ``gap_s`` and call the hooks for it."""
         self.metrics.incr('clock.gaps')
         logger.warning('suspended', gap_ms=round(gap_s * 1000))
-        for hook in self.on_gap:
+        for hook in self.on_suspension:
             hook(gap_s)
 
     def wall_s(self) -> float:
--- a/mountridge/clocks.py
+++ b/mountridge/clocks.py
@@ -12,12 +12,12 @@
 import time
 import typing
 
-__all__ = ['Clock', 'GAP_S', 'counts_suspension', 'now_s']
+__all__ = ['Clock', 'MIN_SUSPENSION_S', 'counts_suspension', 'now_s']
 
 #: A suspension that is told: below the shortest bound that it could break,
 #: the 0.3 s in which a connection to a runner is made, and far above what
 #: passes between the two readings of a busy process.
-GAP_S = 0.25
+MIN_SUSPENSION_S = 0.25
 #: Readings by which the distance of the two clocks is found. One that is
 #: interrupted between the two shows too little of it.
 FIRST_LOOKS = 3
@@ -46,11 +46,11 @@
 
     def __init__(
         self,
-        on_gap: typing.Callable[[float], None],
+        on_suspension: typing.Callable[[float], None],
         real: Reading = now_s,
         steady: Reading = time.monotonic,
     ):
-        self._on_gap = on_gap
+        self._on_suspension = on_suspension
         self._real = real
         self._steady = steady
         self._ahead_s = max(real() - steady() for _ in range(FIRST_LOOKS))
@@ -62,7 +62,7 @@
         """
         now_s = self._real()
         gap_s = now_s - self._steady() - self._ahead_s
-        if gap_s > GAP_S:
+        if gap_s > MIN_SUSPENSION_S:
             self._ahead_s += gap_s
-            self._on_gap(gap_s)
+            self._on_suspension(gap_s)
         return now_s
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -84,7 +84,7 @@
             self.backends,
             lambda: len(self.gateways()),
         )
-        app.on_gap.append(
+        app.on_suspension.append(
             lambda gap_s: self.forwarder.cancel_overdue(app.now_s())
         )
         self.hall_orders = hallorders.HallOrders(app, self.leader.call)
--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -281,7 +281,7 @@
         self._renewed = trio.Event()
         self._was_valid = False
         # After a suspension the view may be outdated; renew at once.
-        app.on_gap.append(lambda gap_s: self.wake())
+        app.on_suspension.append(lambda gap_s: self.wake())
 
     async def run(self) -> None:
         """Renew at each interval, or earlier on request."""
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -703,7 +703,8 @@
     ),
     Mutant(
         'clocks: a late reading sets them apart', 'clocks',
-        'if gap_s > GAP_S:', 'if abs(gap_s) > GAP_S:', 'suspension',
+        'if gap_s > MIN_SUSPENSION_S:',
+        'if abs(gap_s) > MIN_SUSPENSION_S:', 'suspension',
     ),
     Mutant(
         'clocks: requests past their time go on', 'forwarding',
