--- a/mountridge/clocks.py
+++ b/mountridge/clocks.py
@@ -1,12 +1,13 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The clock that all decides by: it counts the time of a suspension.
+"""A monotonic clock that includes the time of suspensions.
 
-The steady clock of the system stands still while a machine is suspended, so
-a lease or a rest of before would look young to a process that has slept past
-it. Timers run on that clock, and so whatever they wake decides by this one.
-Loaded before all else at a start: imports nothing but parts of the standard
-library.
+The monotonic clock of the system stops while a machine is suspended, so a
+lease or backoff that ended in the meantime would still seem to be valid.
+Timers run on that clock; the code that they resume must check deadlines
+against this one.
+
+Imported first at a start, so it imports the standard library alone.
 """
 
 import time
@@ -14,19 +15,19 @@
 
 __all__ = ['Clock', 'MIN_SUSPENSION_S', 'counts_suspension', 'now_s']
 
-#: A suspension that is told: below the shortest bound that it could break,
-#: the 0.3 s in which a connection to a runner is made, and far above what
-#: passes between the two readings of a busy process.
+#: Shortest suspension that is reported: less than the shortest timeout (of
+#: connecting to a runner), and more than the delay between the readings of
+#: the two clocks in a busy process.
 MIN_SUSPENSION_S = 0.25
-#: Readings by which the distance of the two clocks is found. One that is
-#: interrupted between the two shows too little of it.
-FIRST_LOOKS = 3
+#: Number of readings to determine the offset of the two clocks. A process
+#: interrupted between the two readings underestimates the offset.
+OFFSET_READINGS = 3
 
 Reading = typing.Callable[[], float]
 
 
-def _find() -> tuple[bool, Reading]:
-    """Return whether a clock counts suspended time, and the best there is."""
+def _find_clock() -> tuple[bool, Reading]:
+    """Return whether a clock counts suspensions, and the best clock."""
     clock = getattr(time, 'CLOCK_BOOTTIME', None)
     if clock is None:
         return False, time.monotonic
@@ -37,12 +38,12 @@
     return True, lambda: time.clock_gettime(clock)
 
 
-#: Whether `now_s` counts suspended time; without, it is the steady clock.
-counts_suspension, now_s = _find()
+#: Whether `now_s` counts suspensions; if not, it is the monotonic clock.
+counts_suspension, now_s = _find_clock()
 
 
 class Clock:
-    """The clock of a process, which tells when it was suspended."""
+    """The clock of a process, which detects suspensions."""
 
     def __init__(
         self,
@@ -53,16 +54,18 @@
         self._on_suspension = on_suspension
         self._real = real
         self._steady = steady
-        self._ahead_s = max(real() - steady() for _ in range(FIRST_LOOKS))
+        #: Offset of the real clock from the steady clock.
+        self._offset_s = max(real() - steady() for _ in range(OFFSET_READINGS))
 
     def now_s(self) -> float:
-        """Return the present time; tells of a gap before that is acted on.
+        """Return the time in seconds since an arbitrary moment.
 
-        A time in seconds from some moment, which never goes back.
+        It never goes back. A suspension is reported to ``on_suspension``
+        before the method returns.
         """
         now_s = self._real()
-        gap_s = now_s - self._steady() - self._ahead_s
+        gap_s = now_s - self._steady() - self._offset_s
         if gap_s > MIN_SUSPENSION_S:
-            self._ahead_s += gap_s
+            self._offset_s += gap_s
             self._on_suspension(gap_s)
         return now_s
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -699,7 +699,7 @@
     ),
     Mutant(
         'clocks: each look tells the same gap', 'clocks',
-        'self._ahead_s += gap_s', 'pass', 'suspension',
+        'self._offset_s += gap_s', 'pass', 'suspension',
     ),
     Mutant(
         'clocks: a late reading sets them apart', 'clocks',
