--- a/mountridge/signals.py
+++ b/mountridge/signals.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Named signals: small hooks for what is beside the main path."""
+"""Named signals, to which other modules can subscribe."""
 
 import blinker
 
@@ -19,10 +19,10 @@
 stopped = blinker.signal('stopped')
 #: A decision was recorded. Sender: the store; ``record``.
 decided = blinker.signal('decided')
-#: A controller leads or follows another one. Sender: the replica;
-#: ``address`` of the leader.
+#: The leader is known or has changed. Sender: the replica; ``address`` of the
+#: leader.
 leader_known = blinker.signal('leader-known')
 #: A lease was gained or lost. Sender: the holder; ``held``.
 lease_changed = blinker.signal('lease-changed')
-#: Changes came into force. Sender: the holder; ``changes``.
+#: Changes of the view were applied. Sender: the holder; ``changes``.
 view_changed = blinker.signal('view-changed')
