--- a/mountridge/utils.py
+++ b/mountridge/utils.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Small helpers shared by the other modules."""
+"""Helpers shared by other modules."""
 
 import random
 import secrets
@@ -9,13 +9,14 @@
 
 
 def fresh_id() -> str:
-    """Return 12 hex digits that no other process has."""
+    """Return a random id of 12 hex digits."""
     return secrets.token_hex(6)
 
 
 def spread(delay_s: float, rng: random.Random) -> float:
-    """Return ``delay_s`` spread over 1 to 1.5 times, in seconds.
+    """Return ``delay_s`` with a random addition of up to half of it.
 
-    Callers refused together must not come back together.
+    The jitter keeps clients that were refused together from retrying at the
+    same time.
     """
     return delay_s * (1 + rng.random() / 2)
