--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -216,7 +216,7 @@
     )
     response.headers['x-request-id'] = request_id
     if problem.status in (429, 503) or problem.retry_after_s:
-        delay_s = utils.spread(
+        delay_s = utils.with_jitter(
             problem.retry_after_s or 1.0, gateway.dispatcher.rng
         )
         response.headers['retry-after'] = str(math.ceil(delay_s))
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -138,7 +138,7 @@
             return
         if problem.status in (429, 503) and problem.retry_after_s is None:
             base_s = RETRY_AFTER_S.get(type(problem), DEFAULT_RETRY_AFTER_S)
-            problem.retry_after_s = utils.spread(base_s, self.rng)
+            problem.retry_after_s = utils.with_jitter(base_s, self.rng)
         await httpserver.refuse(exchange.responder, problem)
 
     def _log_request(
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -199,7 +199,7 @@
     ) -> errors.RunnersCold:
         return errors.RunnersCold(
             f'{ahead} requests ahead, could be sent in {send_in_s:.1f} s',
-            retry_after_s=utils.spread(send_in_s, self._rng),
+            retry_after_s=utils.with_jitter(send_in_s, self._rng),
         )
 
     # State of the runners.
@@ -273,7 +273,7 @@
     def _backoff_error(self, left_s: float) -> errors.RunnersResting:
         return errors.RunnersResting(
             f'all runners back off, the first for {left_s:.1f} s more',
-            retry_after_s=utils.spread(
+            retry_after_s=utils.with_jitter(
                 max(MIN_RETRY_AFTER_S, left_s), self._rng
             ),
         )
--- a/mountridge/utils.py
+++ b/mountridge/utils.py
@@ -5,7 +5,7 @@
 import random
 import secrets
 
-__all__ = ['fresh_id', 'spread']
+__all__ = ['fresh_id', 'with_jitter']
 
 
 def fresh_id() -> str:
@@ -13,7 +13,7 @@
     return secrets.token_hex(6)
 
 
-def spread(delay_s: float, rng: random.Random) -> float:
+def with_jitter(delay_s: float, rng: random.Random) -> float:
     """Return ``delay_s`` with a random addition of up to half of it.
 
     The jitter keeps clients that were refused together from retrying at the
