--- a/mountridge/signals.py
+++ b/mountridge/signals.py
@@ -17,7 +17,7 @@
 started = blinker.signal('started')
 #: An application has ended. Sender: the application.
 stopped = blinker.signal('stopped')
-#: A decision was recorded. Sender: the store; ``record``.
+#: A decision was recorded. Sender: the decision log; ``record``.
 decided = blinker.signal('decided')
 #: The leader is known or has changed. Sender: the replica; ``address`` of the
 #: leader.
