--- a/mountridge/settingswatch.py
+++ b/mountridge/settingswatch.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Follows changes of the settings file, told by a signal or not."""
+"""Reloads the settings file when it changes, with or without a signal."""
 
 import pathlib
 import typing
@@ -12,49 +12,53 @@
 
 __all__ = ['task']
 
-#: How often the file is looked at for a change without a signal.
+#: Interval at which the file is checked for changes without a signal.
 POLL_S = 1.0
 
 
 def task(
     app: application.Application,
     path: str,
-    take: typing.Callable[[dict], None],
+    apply: typing.Callable[[dict], None],
 ) -> application.Task:
-    """Return a task that hands newer settings to ``take``.
+    """Return a task that calls ``apply`` with changed settings.
 
-    ``take`` uses the seeds and the halls alone; all else needs a start of
-    the process.
+    ``apply`` uses the seeds and the halls only; changes of other settings
+    require a restart of the process.
     """
-    changed = trio.Event()
+    requested = trio.Event()
 
-    def hurry() -> None:
-        changed.set()
+    def request() -> None:
+        requested.set()
 
-    async def follow() -> None:
-        nonlocal changed
-        seen = pathlib.Path(path).read_bytes()
+    async def watch() -> None:
+        nonlocal requested
+        applied = pathlib.Path(path).read_bytes()
         while True:
             with trio.move_on_after(POLL_S):
-                await changed.wait()
-            changed = trio.Event()
-            seen = _reload(path, seen, take)
+                await requested.wait()
+            requested = trio.Event()
+            applied = _reload(path, applied, apply)
 
-    app.reload.append(hurry)
-    return follow
+    app.reload.append(request)
+    return watch
 
 
 def _reload(
-    path: str, seen: bytes, take: typing.Callable[[dict], None]
+    path: str, applied: bytes, apply: typing.Callable[[dict], None]
 ) -> bytes:
-    """Take a changed file; return what counts as seen from now on."""
+    """Apply a changed file; return the content that is applied now.
+
+    Invalid settings are not applied; they are loaded again, and the error
+    logged again, until the file is corrected.
+    """
     try:
-        given = pathlib.Path(path).read_bytes()
-        if given == seen:
-            return seen
-        take(settings.load(path))
+        content = pathlib.Path(path).read_bytes()
+        if content == applied:
+            return applied
+        apply(settings.load(path))
         logger.info('settings reloaded', taken='entry.seeds, halls')
-        return given
+        return content
     except (OSError, errors.BadSettings) as problem:
         logger.error('settings not reloaded', reason=str(problem))
-        return seen
+        return applied
