--- a/mountridge/application.py
+++ b/mountridge/application.py
@@ -188,7 +188,7 @@
                     self.stopping.set()
 
     def _reload(self) -> None:
-        logger.info('reloading the settings')
+        logger.info('reload requested')
         for hook in self.reload:
             hook()
 
