--- a/mountridge/metrics.py
+++ b/mountridge/metrics.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Counters, levels and latency histograms of a process.
+"""Counters, gauges and latency histograms of a process.
 
-They are served as text in the form of Prometheus, and sent on to a statsd
-server where one is set. Histograms are HdrHistogram's; prometheus_client
-was measured at 14 MB and 0.6 s a process (docs/PLATFORM.md).
+They are served in the Prometheus text format, and sent to a statsd server if
+one is configured. prometheus_client is not used because of its memory usage
+and import time (docs/PLATFORM.md).
 """
 
 import collections
@@ -14,16 +14,16 @@
 
 __all__ = ['Metrics', 'open_metrics']
 
-#: Longest duration that is told apart, and significant digits kept.
-MOST_MS, DIGITS = 120_000, 2
-#: Upper bounds of the buckets that the text shows, in milliseconds.
+#: Range of the histograms, and their precision in significant digits.
+MAX_MS, DIGITS = 120_000, 2
+#: Upper bounds of the buckets in the text format, in milliseconds.
 BUCKETS_MS = (
     1, 2, 5, 10, 20, 50, 100, 200, 400, 800, 1600, 3200, 6400, 12800,
 )  # fmt: skip
 
 
 class Metrics:
-    """Counts by name, and durations by name."""
+    """Counters and gauges, and histograms of durations, by name."""
 
     def __init__(self, client: statsd.StatsClient | None):
         self._client = client
@@ -39,22 +39,22 @@
     def timing(self, name: str, delta_s: float) -> None:
         """Record a duration in seconds."""
         self.counts[name + '.count'] += 1
-        found = self._durations.get(name)
-        if found is None:
-            found = HdrHistogram(1, MOST_MS, DIGITS)
-            self._durations[name] = found
-        found.record_value(min(MOST_MS, max(1, round(delta_s * 1000))))
+        histogram = self._durations.get(name)
+        if histogram is None:
+            histogram = HdrHistogram(1, MAX_MS, DIGITS)
+            self._durations[name] = histogram
+        histogram.record_value(min(MAX_MS, max(1, round(delta_s * 1000))))
         if self._client:
             self._client.timing(name, delta_s * 1000)
 
     def gauge(self, name: str, value: float) -> None:
-        """Record a level."""
+        """Set the gauge ``name``."""
         self.counts[name] = value
         if self._client:
             self._client.gauge(name, value)
 
     def text(self) -> str:
-        """Return all of it in the text form of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         lines = ['# TYPE mountridge_events gauge']
         for name, count in sorted(self.counts.items()):
             lines.append(f'mountridge_events{{name="{name}"}} {count}')
@@ -66,14 +66,14 @@
 
 def _histogram_lines(name: str, histogram: HdrHistogram) -> list[str]:
     label = f'name="{name}"'
-    reached = {bound: 0 for bound in BUCKETS_MS}
+    cumulative = {bound: 0 for bound in BUCKETS_MS}
     for item in histogram.get_recorded_iterator():
         for bound in BUCKETS_MS:
             if item.value_iterated_to <= bound:
-                reached[bound] += item.count_added_in_this_iter_step
+                cumulative[bound] += item.count_added_in_this_iter_step
     lines = [
         f'mountridge_duration_ms_bucket{{{label},le="{bound}"}} {count}'
-        for bound, count in reached.items()
+        for bound, count in cumulative.items()
     ]
     total = histogram.get_total_count()
     mean_ms = histogram.get_mean_value()
@@ -85,11 +85,11 @@
 
 
 def open_metrics(settings: dict) -> Metrics:
-    """Return the metrics of a process, from its settings."""
-    where = settings['statsd']
-    if not where['host']:
+    """Return the metrics of a process, with a statsd client if configured."""
+    server = settings['statsd']
+    if not server['host']:
         return Metrics(None)
-    prefix = f'{where["prefix"]}.{settings["role"]}.{settings["name"]}'
+    prefix = f'{server["prefix"]}.{settings["role"]}.{settings["name"]}'
     return Metrics(
-        statsd.StatsClient(where['host'], where['port'], prefix=prefix)
+        statsd.StatsClient(server['host'], server['port'], prefix=prefix)
     )
