--- a/mountridge/settings.py
+++ b/mountridge/settings.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Settings of each process: defaults in one place, merged, checked once.
+"""The settings of a process, their defaults and their validation.
 
-The YAML file holds only what differs from `DEFAULTS`. Every error is
-reported at once, with its path in the file.
+The YAML file contains only settings that differ from `DEFAULTS`. All errors
+are reported together, each with its path in the file.
 """
 
 import copy
@@ -17,33 +17,32 @@
 
 __all__ = ['DEFAULTS', 'check', 'load', 'merge']
 
-#: The longest key of the digests of requests (BLAKE2b).
-MOST_KEY_BYTES = 64
+#: Maximum size of `digest_key`, a BLAKE2b key.
+MAX_KEY_BYTES = 64
 ROLES = ('gateway', 'agent', 'controller', 'entry', 'sidecar')
 
-#: All settings with their defaults. A key that is not here is refused.
+#: All settings with their defaults. Other keys are errors.
 DEFAULTS: dict[str, typing.Any] = {
-    # Who this process is.
+    # Identity of the process.
     'role': 'gateway',
     'name': '',
     'hall': '',
-    # Where its own messages arrive: tcp://IP:PORT.
+    # Address at which it receives messages: tcp://IP:PORT.
     'bind': '',
-    # All halls of the deployment; [] where they are not told.
+    # All halls of the deployment; [] if they are not configured.
     'halls': [],
-    # The controllers, name -> tcp://IP:PORT.
+    # Addresses of the controllers: name -> tcp://IP:PORT.
     'controllers': {},
     'keys': {'off': False, 'folder': ''},
-    # Gateways know requests that crash runners by digests under this key;
-    # the same for all. Without one, a digest in a log can be compared with
-    # that of a guessed request.
+    # Key of the digests by which gateways recognize requests that crash
+    # runners; must be the same for all. Without a key, a digest in a log can
+    # be matched against that of a guessed request.
     'digest_key': '',
-    # The key that operators' commands use, where it is another name's.
+    # Name whose key operators' commands use; '' for `name`.
     'operator_key': '',
-    # `lines_per_s` bounds the volume; what is over it is counted. A busy
-    # gateway of the sites writes some 20 lines a second.
+    # Lines above `lines_per_s` are dropped and counted.
     'log': {'level': 'INFO', 'json': True, 'lines_per_s': 300.0},
-    # IP:PORT at which counters and histograms are served; '' for nowhere.
+    # IP:PORT at which the metrics are served; '' to serve none.
     'metrics': '',
     'statsd': {'host': '', 'port': 8125, 'prefix': 'mountridge'},
     'limits': {'message_bytes': 8 << 20},
@@ -76,26 +75,28 @@
         'snapshot_entries': 5000,
         'claim_keep_s': 600.0,
     },
-    # The role `entry`: a gateway by routes, with a controller beside it
-    # where `controller.data` names a folder.
+    # The role `entry`: a gateway that dispatches by routes. It also runs a
+    # controller if `controller.data` is set.
     'entry': {
         'front': '127.0.0.1:8080',
         'readiness': '127.0.0.1:8081',
         'control': '127.0.0.1:8082',
         'directory': '127.0.0.1:8083',
         'address_ttl_s': 2.0,
-        # IP or IP:PORT of processes to ask first; `bind`'s port counts.
+        # IP or IP:PORT of the processes to contact first. Always contacted
+        # at the port of `bind`.
         'seeds': [],
-        # True at the first start of a whole system only.
+        # True only at the first start of a new system.
         'founding': False,
     },
-    # The role `sidecar`: beside one model runner.
+    # The role `sidecar`: runs on the box of one model runner.
     'sidecar': {'engine': '127.0.0.1:8100', 'report_s': 0.12},
-    # What the operators hold the system to; docs/SETTINGS.md says how each
-    # is used. The defaults are those of the sites known so far.
+    # Limits that the system is operated within; docs/SETTINGS.md describes
+    # how each is used.
     'bounds': {
+        # Number of controllers whose simultaneous loss is tolerated.
         'controller_losses': 1,
-        # Whole halls that may be lost at once.
+        # Number of halls whose simultaneous loss is tolerated.
         'hall_losses': 0,
         'heartbeat_ms': 1200.0,
         'drain_ms': 2000.0,
@@ -104,8 +105,8 @@
         'retry_window_s': 10.0,
         'retry_slack': 96.0,
         'stall_ms': 1500.0,
-        # A cold runner gets at most `cold_over` times what it bears in a
-        # second, and `cold_slack` requests, from all gateways together.
+        # All gateways together send a cold runner at most `cold_over` times
+        # the request rate that it sustains, plus `cold_slack` requests.
         'cold_over': 1.0,
         'cold_slack': 0.0,
     },
@@ -143,7 +144,7 @@
 
 
 def _checker(default: typing.Any) -> typing.Any:
-    """Return the check for a value, from the shape of its default."""
+    """Return the validator for a value, from the type of its default."""
     if isinstance(default, bool):
         return bool
     if isinstance(default, int):
@@ -165,8 +166,8 @@
     rules['name'] = vol.All(str, vol.Length(min=1, msg='expected a name'))
     rules['bind'] = _address
     rules['gateway']['http'] = _host_port
-    for place in ('front', 'readiness', 'control', 'directory'):
-        rules['entry'][place] = _host_port
+    for key in ('front', 'readiness', 'control', 'directory'):
+        rules['entry'][key] = _host_port
     rules['sidecar']['engine'] = _host_port
     rules['metrics'] = vol.Any('', _host_port)
     rules['log']['level'] = vol.In(['DEBUG', 'INFO', 'WARNING', 'ERROR'])
@@ -174,7 +175,7 @@
 
 
 def merge(defaults: dict, given: dict) -> dict:
-    """Return ``defaults`` with ``given`` laid over, table by table."""
+    """Return ``defaults`` overridden by ``given``; mappings are merged."""
     merged = copy.deepcopy(defaults)
     for key, value in given.items():
         if isinstance(value, dict) and isinstance(merged.get(key), dict):
@@ -184,36 +185,42 @@
     return merged
 
 
-def _cross_checks(settings: dict) -> list[str]:
-    """Return what is wrong between settings that are each well-formed."""
-    wrong = []
+def _check_combinations(settings: dict) -> list[str]:
+    """Return the errors of combinations of settings that are each valid."""
+    problems = []
     if not settings['keys']['off'] and not settings['keys']['folder']:
-        wrong.append('keys.folder: expected a folder, or keys.off: true')
-    entry = settings['role'] in ('entry', 'sidecar')
-    if entry and not settings['entry']['seeds']:
-        wrong.append('entry.seeds: expected at least one')
-    if not entry and not settings['controllers']:
-        wrong.append('controllers: expected at least one')
+        problems.append('keys.folder: expected a folder, or keys.off: true')
+    uses_seeds = settings['role'] in ('entry', 'sidecar')
+    if uses_seeds and not settings['entry']['seeds']:
+        problems.append('entry.seeds: expected at least one')
+    if not uses_seeds and not settings['controllers']:
+        problems.append('controllers: expected at least one')
     lease = settings['lease']
     if lease['renew_s'] * 2 > lease['lease_s']:
-        wrong.append('lease.renew_s: expected at most half of lease.lease_s')
+        problems.append(
+            'lease.renew_s: expected at most half of lease.lease_s'
+        )
     if settings['role'] == 'controller':
         if not settings['controller']['data']:
-            wrong.append('controller.data: expected a folder')
+            problems.append('controller.data: expected a folder')
         if settings['name'] not in settings['controllers']:
-            wrong.append('controllers: expected this controller among them')
+            problems.append(
+                'controllers: expected the name of this controller'
+            )
     if settings['role'] == 'agent' and not settings['agent']['services']:
-        wrong.append('agent.services: expected at least one')
+        problems.append('agent.services: expected at least one')
     agent = settings['agent']
     if agent['reserved_slots'] >= agent['slots']:
-        wrong.append('agent.reserved_slots: expected fewer than agent.slots')
-    if len(settings['digest_key'].encode()) > MOST_KEY_BYTES:
-        wrong.append(f'digest_key: expected at most {MOST_KEY_BYTES} bytes')
-    return wrong
+        problems.append(
+            'agent.reserved_slots: expected fewer than agent.slots'
+        )
+    if len(settings['digest_key'].encode()) > MAX_KEY_BYTES:
+        problems.append(f'digest_key: expected at most {MAX_KEY_BYTES} bytes')
+    return problems
 
 
 def check(given: typing.Any) -> dict:
-    """Return the full settings for what a file gave.
+    """Validate the content of a file; return the complete settings.
 
     :raises BadSettings: with one line per error, each with its path.
     """
@@ -224,18 +231,21 @@
         checked = _schema()(merged)
     except vol.MultipleInvalid as problem:
         lines = [
-            f'{".".join(str(part) for part in one.path)}: {one.msg}'
-            for one in problem.errors
+            f'{".".join(str(part) for part in error.path)}: {error.msg}'
+            for error in problem.errors
         ]
         raise errors.BadSettings('\n'.join(sorted(lines)))
-    wrong = _cross_checks(checked)
-    if wrong:
-        raise errors.BadSettings('\n'.join(wrong))
+    problems = _check_combinations(checked)
+    if problems:
+        raise errors.BadSettings('\n'.join(problems))
     return checked
 
 
 def load(path: str | pathlib.Path) -> dict:
-    """Read and check the settings file at ``path``."""
+    """Read and validate the settings file at ``path``.
+
+    :raises BadSettings: it can't be read or has errors.
+    """
     try:
         text = pathlib.Path(path).read_text()
     except OSError as problem:
@@ -245,10 +255,10 @@
 
 
 def _parse(text: str, name: str) -> typing.Any:
-    """Return what a settings file says.
+    """Return the content of a settings file.
 
-    All JSON is YAML. A file in that subset is read without the parser of
-    the rest, whose import and work take 30 ms of a process's start.
+    JSON, a subset of YAML, is parsed without the slow import of the YAML
+    parser, which shortens the start of a process.
     """
     try:
         return msgspec.json.decode(text)
