--- a/mountridge/errors.py
+++ b/mountridge/errors.py
@@ -1,10 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Exception tree with numbered result codes.
+"""The exception hierarchy, with numbered error codes.
 
-Each class fixes a ``code``, the HTTP ``status`` a caller sees, and
-``not_run``: true only where the request certainly did not reach a runner.
-The table of codes is ``docs/ERRORS.md``.
+Each class defines a ``code``, the HTTP ``status`` of its response, and the
+``outcome`` of the request: `NOT_RUN` only if it certainly did not run. The
+first sentence of its doc comment is the default message. The table of codes
+is ``docs/ERRORS.md``.
 """
 
 import typing
@@ -63,14 +64,17 @@
     'UNKNOWN',
 ]
 
-#: The three outcomes of a request; never only two of them.
+#: The possible outcomes of a request. `UNKNOWN`: it may have run.
 RAN = 'ran'
 NOT_RUN = 'not run'
 UNKNOWN = 'unknown'
 
 
 class MountridgeError(Exception):
-    """Root of the tree; ``retry_after_s`` tells when to come back."""
+    """Base class of all errors.
+
+    ``retry_after_s`` is the delay after which the caller may retry.
+    """
 
     code = 1000
     status = 500
@@ -110,14 +114,14 @@
 
 
 class KeyRequired(BadRequest):
-    """A call that may not be repeated needs an Idempotency-Key."""
+    """A call that must not be repeated requires an Idempotency-Key."""
 
     code = 1104
     status = 400
 
 
 class ClaimConflict(BadRequest):
-    """The Idempotency-Key was used before for a different request."""
+    """The Idempotency-Key was already used for a different request."""
 
     code = 1105
     status = 409
@@ -131,7 +135,7 @@
 
 
 class Busy(MountridgeError):
-    """The request can't be started before its time in queue ends."""
+    """The request can't be started within its maximum time in the queue."""
 
     code = 1201
     status = 429
@@ -145,21 +149,21 @@
 
 
 class NoLease(MountridgeError):
-    """This process holds no lease, so its table may be old."""
+    """This process holds no lease, so its table may be outdated."""
 
     code = 1203
     status = 503
 
 
 class Draining(MountridgeError):
-    """The endpoint is leaving and takes no new work."""
+    """The endpoint is draining and accepts no new requests."""
 
     code = 1204
     status = 503
 
 
 class StaleIncarnation(MountridgeError):
-    """The order is for another incarnation or an older fence."""
+    """The message is for another incarnation, or outdated."""
 
     code = 1205
     status = 503
@@ -173,28 +177,28 @@
 
 
 class NoRoutes(MountridgeError):
-    """This process holds no routes yet."""
+    """This process has not received any routes yet."""
 
     code = 1207
     status = 503
 
 
 class TooSlow(BadRequest):
-    """The request did not arrive in time."""
+    """The request was not received in time."""
 
     code = 1106
     status = 408
 
 
 class HeadTooLarge(BadRequest):
-    """The head of the request is larger than the limits allow."""
+    """The request headers are larger than the limits allow."""
 
     code = 1107
     status = 431
 
 
 class NoRoute(BadRequest):
-    """No route fits this host and path."""
+    """No route matches this host and path."""
 
     code = 1108
     status = 404
@@ -215,7 +219,7 @@
 
 
 class BadHeartbeat(BadRequest):
-    """What a runner says of itself is malformed; it changes nothing.
+    """The runner's report about itself is malformed and was ignored.
 
     ``cause`` is the name under which it is counted.
     """
@@ -228,42 +232,42 @@
 
 
 class UnknownService(BadRequest):
-    """No route names the service of this runner; it is not registered."""
+    """No route uses the service of this runner; it is not registered."""
 
     code = 1112
     status = 404
 
 
 class StaleHeartbeat(BadRequest):
-    """Another life of the runner, or another runner, goes before it."""
+    """Another incarnation of the runner, or another runner, is newer."""
 
     code = 1113
     status = 409
 
 
 class NotHeldBack(BadRequest):
-    """No request of this digest is or was held back."""
+    """No request with this digest is or was quarantined."""
 
     code = 1114
     status = 404
 
 
 class RunnerReplaced(MountridgeError):
-    """Another runner has the address of the one that was meant."""
+    """Another runner now has the address of the selected one."""
 
     code = 1209
     status = 503
 
 
 class RunnerRefused(MountridgeError):
-    """The runner says that it has not run the request."""
+    """The runner reported that it did not run the request."""
 
     code = 1208
     status = 503
 
 
 class GroupClosed(MountridgeError):
-    """No group of the service takes requests now."""
+    """No group of the service accepts requests at present."""
 
     code = 1210
     status = 503
@@ -277,28 +281,28 @@
 
 
 class RunnersCold(MountridgeError):
-    """All runners are cold, and get as many requests as they bear."""
+    """All runners are cold and already at their request rate limit."""
 
     code = 1212
     status = 503
 
 
 class RunnersResting(MountridgeError):
-    """All runners have asked for rest, or this one has meanwhile."""
+    """All runners, or the selected one, requested a backoff."""
 
     code = 1213
     status = 503
 
 
 class RequestHeldBack(MountridgeError):
-    """The request has crashed several runners, and is sent to none."""
+    """The request has crashed several runners and is quarantined."""
 
     code = 1214
     status = 502
 
 
 class TimedOut(MountridgeError):
-    """The time for the request ran out while it may have been running."""
+    """The request timed out and may still be running."""
 
     code = 1303
     status = 504
@@ -306,7 +310,7 @@
 
 
 class RunnerFailed(MountridgeError):
-    """The runner failed while it ran the request."""
+    """The runner failed while running the request."""
 
     code = 1300
     status = 502
@@ -314,19 +318,19 @@
 
 
 class BadAnswer(RunnerFailed):
-    """The runner's answer was cut before its end."""
+    """The runner's answer is incomplete or invalid."""
 
     code = 1301
 
 
 class RunnerSlow(RunnerFailed):
-    """The runner has become slow, and the stream goes on at another."""
+    """The runner has become slow; the stream continues at another one."""
 
     code = 1304
 
 
 class OutcomeUnknown(MountridgeError):
-    """It is not known whether the request was run; ask again later."""
+    """It is unknown whether the request ran; ask again later."""
 
     code = 1302
     status = 502
@@ -334,48 +338,48 @@
 
 
 class NoController(MountridgeError):
-    """No controller answered in time."""
+    """No controller replied in time."""
 
     code = 1400
     status = 503
 
 
 class NotLeader(NoController):
-    """This controller does not lead; the message names who may."""
+    """This controller is not the leader; the reply names the leader."""
 
     code = 1401
 
 
 class RefusedChange(MountridgeError):
-    """The controllers refuse this change of membership."""
+    """The controllers refused this change of membership."""
 
     code = 1402
     status = 409
 
 
 class ConflictingPut(MountridgeError):
-    """Another put took the table past the base version."""
+    """The table has been changed since the base version."""
 
     code = 1403
     status = 409
 
 
 class HallChanged(MountridgeError):
-    """Another order for this hall came first; nothing was changed."""
+    """Another change of this hall came first; nothing was changed."""
 
     code = 1404
     status = 503
 
 
 class BadSheet(MountridgeError):
-    """The sheet has errors; nothing of it was taken."""
+    """The sheet has errors and was not applied."""
 
     code = 1500
     status = 400
 
 
 class BadRoutes(MountridgeError):
-    """The routes document has errors; nothing of it was taken."""
+    """The routes document has errors and was not applied."""
 
     code = 1502
     status = 400
@@ -388,7 +392,7 @@
 
 
 class NoRealClock(MountridgeError):
-    """No clock of this system counts the time of a suspension."""
+    """No clock of this system includes the time of suspensions."""
 
     code = 1503
 
@@ -400,32 +404,33 @@
 
 
 class StorageFailed(MountridgeError):
-    """A write or sync of the data folder failed; the process ends."""
+    """A write to the data folder or its sync failed; the process exits."""
 
     code = 1700
 
 
 class DiskFull(StorageFailed):
-    """The disk has no room: nothing was written, and it is tried again."""
+    """The disk is full; nothing was written, and the write is retried."""
 
     code = 1702
 
 
 class DamagedStorage(StorageFailed):
-    """The data folder is damaged before its tail."""
+    """The data folder is damaged before its last record."""
 
     code = 1701
 
 
-def _walk(kind: type) -> typing.Iterator[type]:
-    yield kind
-    for child in kind.__subclasses__():
-        yield from _walk(child)
+def _subclasses(base: type) -> typing.Iterator[type]:
+    """Yield a class and all its direct and indirect subclasses."""
+    yield base
+    for child in base.__subclasses__():
+        yield from _subclasses(child)
 
 
 def by_code(code: int) -> type[MountridgeError]:
-    """Return the error class with this code, or the root class."""
-    for kind in _walk(MountridgeError):
+    """Return the error class with this code, or the base class."""
+    for kind in _subclasses(MountridgeError):
         if kind.code == code:
             return kind
     return MountridgeError
