--- a/mountridge/control/__init__.py
+++ b/mountridge/control/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The leader's offices: runners that register, and controllers."""
+"""Managers run by the leader: runners, controllers, halls and quarantine."""
--- a/mountridge/dispatch/__init__.py
+++ b/mountridge/dispatch/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Dispatch of requests by the table, from gateways over agents to runners."""
+"""Dispatch of requests by the table, from gateways via agents to runners."""
--- a/mountridge/experts/__init__.py
+++ b/mountridge/experts/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Expert maps: demand, plans, and the steps of a change; no I/O."""
+"""Expert maps: demand, planning, and the steps of a change; no I/O."""
--- a/mountridge/groups/__init__.py
+++ b/mountridge/groups/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Ranks in lock-step: reports, orders and changes of maps."""
+"""Groups of ranks that run in lock-step: reports, orders and map changes."""
--- a/mountridge/net/__init__.py
+++ b/mountridge/net/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Sockets between processes, and HTTP on both sides."""
+"""Sockets between processes, and HTTP to callers and to runners."""
--- a/mountridge/routing/__init__.py
+++ b/mountridge/routing/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A request by routes, from the caller to a runner and back."""
+"""Routing of requests from callers to runners, by the routes document."""
