--- a/features/entry.feature
+++ b/features/entry.feature
@@ -40,7 +40,7 @@
   Scenario Outline: A delayed heartbeat does not override a newer one
     Given a leader's registry
     When a runner reports <first> with number 5 and then <second> with number <n>
-    Then it is registered as <state>
+    Then the registration has state <state>
 
     Examples:
       | first    | second   | n | state    |
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -174,7 +174,7 @@
     trio.run(main)
 
 
-@then('it is registered as {state}')
+@then('the registration has state {state}')
 def check_state(context, state):
     assert context.machine.instances['i-1'].state == state
 
@@ -310,7 +310,7 @@
 
 @then('4 of them are counted as dropped')
 def check_dropped(context):
-    assert context.sink.left_out == 4
+    assert context.sink.dropped == 4
 
 
 # Names.
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -746,7 +746,7 @@
         for number in range(count):
             order = ranks.RankOrder(ranks.HOLD, 1, 2, 3, [])
             order = order._replace(version=number)
-            controller.give_elsewhere(messages.RemoteOrder('r', order))
+            controller.send_remote_order(messages.RemoteOrder('r', order))
         context.cut = world.in_hall(hall)
         # The leases of these boxes are still valid.
         assert set(context.cut) <= set(controller.leases.holders)
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -48,9 +48,9 @@
     def suspend(self, span_s):
         self.real_s += span_s
 
-    def clock(self, on_gap):
+    def clock(self, on_suspension):
         return clocks.Clock(
-            on_gap,
+            on_suspension,
             lambda: self.real_s,
             lambda: self.monotonic_s + self.delay_s,
         )
@@ -75,7 +75,7 @@
     assert abs(context.clock.now_s() - context.begun_s - gap_s) < 1e-9
     assert len(context.gaps) == (number == 'a'), context.gaps
     for gap in context.gaps:
-        assert clocks.GAP_S < gap <= gap_s + 1e-9, context.gaps
+        assert clocks.MIN_SUSPENSION_S < gap <= gap_s + 1e-9, context.gaps
 
 
 @when('its monotonic source is read 3 s late')
@@ -109,8 +109,8 @@
     world = system.World(None, 1)
     context.app = application.Application(world.settings('gateway', 'g1'))
     context.sources, context.reported = Sources(), []
-    context.app.clock = context.sources.clock(context.app.wake)
-    context.app.on_gap.append(context.reported.append)
+    context.app.clock = context.sources.clock(context.app.report_suspension)
+    context.app.on_suspension.append(context.reported.append)
 
 
 @when('it gets a lease of 3 s and is suspended for 4 s')
--- a/mountridge/entrycontroller.py
+++ b/mountridge/entrycontroller.py
@@ -67,7 +67,7 @@
             engine.places, engine.spare, engine.experts, engine.copy_s
         )
 
-    built.sheet = engine_parameters
+    built.engine_parameters = engine_parameters
 
     def is_service_allowed(service: str) -> bool:
         """Return whether the routes name a service, or there are none yet."""
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -224,8 +224,8 @@
     ),
     Mutant(
         'cut answers kept as whole', 'agent',
-        'ended_well = attempt.last is not None and not attempt.last.code',
-        'ended_well = True', 'requests', 'not stored as',
+        'succeeded = attempt.last is not None and not attempt.last.code',
+        'succeeded = True', 'requests', 'not stored as',
     ),
     Mutant(
         'answers too large kept as empty', 'statemachine',
@@ -295,7 +295,7 @@
     ),
     Mutant(
         'agents with no lease', 'agent',
-        'if not self.held.is_valid(now_s):', 'if False:', 'operations',
+        'if not self.lease.is_valid(now_s):', 'if False:', 'operations',
         'receives nothing from controllers',
     ),
     Mutant(
@@ -699,11 +699,12 @@
     ),
     Mutant(
         'clocks: each look tells the same gap', 'clocks',
-        'self._ahead_s += gap_s', 'pass', 'suspension',
+        'self._offset_s += gap_s', 'pass', 'suspension',
     ),
     Mutant(
         'clocks: a late reading sets them apart', 'clocks',
-        'if gap_s > GAP_S:', 'if abs(gap_s) > GAP_S:', 'suspension',
+        'if gap_s > MIN_SUSPENSION_S:',
+        'if abs(gap_s) > MIN_SUSPENSION_S:', 'suspension',
     ),
     Mutant(
         'clocks: requests past their time go on', 'forwarding',
@@ -1125,13 +1126,13 @@
     ),
     Mutant(
         'losses: boxes of a lost hall are noted one by one', 'controller',
-        'nursery.start_soon(self._lose, name)', 'await self._lose(name)',
-        'losses', 'A large hall',
+        'nursery.start_soon(self._remove_member, name)',
+        'await self._remove_member(name)', 'losses', 'A large hall',
     ),
     Mutant(
         'losses: orders go to boxes of a hall that is cut off', 'controller',
-        'is_late = not self.leases.renewed_recently(name, late_s, now_s)',
-        'is_late = False', 'losses', 'Orders to ranks',
+        'rank = (is_late, name in controllers)',
+        'rank = (False, name in controllers)', 'losses', 'Orders to ranks',
     ),
     Mutant(
         'lives: late counts that change nothing are heard', 'registry',
