--- a/features/soak.feature
+++ b/features/soak.feature
@@ -16,7 +16,7 @@
     And no process of the run is left
 
   Scenario Outline: What is seen shows <break>
-    Given a watch over a request to "entry-1"
+    Given a checker that knows of a request to "entry-1"
     When <seen>
     Then the rule "<rule>" is broken
 
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -19,7 +19,7 @@
 SIZES = yaml.safe_load((HERE / 'sizes.yaml').read_text())
 READ = next(k for k in SIZES['kinds'] if k['name'] == 'read')
 ORDER = next(k for k in SIZES['kinds'] if k['name'] == 'order')
-#: The moment at which the scenarios of the watch play.
+#: Time of the scenarios of the checker.
 NOW_S = 1000.0
 
 
@@ -61,48 +61,52 @@
     assert not found, found
 
 
-@given('a watch over a request to "entry-1"')
+@given('a checker that knows of a request to "entry-1"')
 def make_watch(context):
     folder = pathlib.Path(tempfile.mkdtemp())
     report.trio = types.SimpleNamespace(current_time=lambda: NOW_S)
     context.add_cleanup(setattr, report, 'trio', trio)
     context.report = report.Report(folder)
-    context.report.say = lambda text: None
+    context.report.print_progress = lambda text: None
     sizes = {**SIZES, 'cold_per_s': 2}
-    context.watch = checks.Watch(sizes, context.report)
-    context.watch.runs.append({})
-    context.asked = _ask(context, ORDER, 'order-1')
+    context.checker = checks.Checker(sizes, context.report)
+    context.checker.run_counts.append({})
+    context.request = _ask(context, ORDER, 'order-1')
     context.runner = types.SimpleNamespace(
-        name='p-1', hall='north', service='plain', cold_until_s=0.0, rest_s=0.0
+        name='p-1',
+        hall='north',
+        service='plain',
+        cold_until_s=0.0,
+        backoff_s=0.0,
     )
 
 
 def _ask(context, kind, request_id):
-    asked = checks.Asked(request_id, kind, 'entry-1', NOW_S)
-    context.watch.asked[request_id] = asked
+    asked = checks.SentRequest(request_id, kind, 'entry-1', NOW_S)
+    context.checker.sent_requests[request_id] = asked
     return asked
 
 
 def _answer(context, status, body=b'{}', whole=True):
     named = {b'x-request-id': b'order-1'}
     answer = checks.Answer(status, named, body, whole, False)
-    context.watch.answered(context.asked, answer, NOW_S)
+    context.checker.record_answer(context.request, answer, NOW_S)
 
 
 def _arrive(context, request_id=b'order-1'):
-    context.watch.arrive(request_id, context.runner, NOW_S)
+    context.checker.record_arrival(request_id, context.runner, NOW_S)
 
 
 @when('it ran and is answered 503')
 def run_and_refuse(context):
-    context.watch.runs[0][b'order-1'] = 1
+    context.checker.run_counts[0][b'order-1'] = 1
     _answer(context, 503)
 
 
 @when('it ran twice')
 def run_twice(context):
-    context.watch.runs[0][b'order-1'] = 2
-    context.watch.sweep(NOW_S, 0, [])
+    context.checker.run_counts[0][b'order-1'] = 2
+    context.checker.sweep(NOW_S, 0, [])
 
 
 @when('it is answered 200 with the path of another')
@@ -122,7 +126,7 @@
 
 @when("it arrives {over_s:d} s after its runner's hall was taken out")
 def arrive_out(context, over_s):
-    context.watch.out_s['north'] = NOW_S - over_s
+    context.checker.out_of_service_s['north'] = NOW_S - over_s
     _arrive(context)
 
 
@@ -138,38 +142,38 @@
 def arrive_often(context):
     for _ in range(40):
         _arrive(context)
-    context.watch.sweep(NOW_S, 0, [])
+    context.checker.sweep(NOW_S, 0, [])
 
 
 @when('version 2 is read where 3 was acknowledged')
 def read_older(context):
-    context.watch.read(3, 2, b'')
+    context.checker.record_read(3, 2, b'')
 
 
 @when('version 2 is read twice with other contents')
 def read_other(context):
-    context.watch.read(2, 2, b'a')
-    context.watch.read(2, 2, b'b')
+    context.checker.record_read(2, 2, b'a')
+    context.checker.record_read(2, 2, b'b')
 
 
 @when('its entry serves version 3 and then has it no more')
 def go_back(context):
-    context.watch.sent = 3
-    context.watch.probe('entry-1', 1, 3, True)
-    context.watch.probe('entry-1', 1, 3, False)
+    context.checker.sent_version = 3
+    context.checker.record_probe('entry-1', 1, 3, True)
+    context.checker.record_probe('entry-1', 1, 3, False)
 
 
 @when('its entry stops, and it is cut after it arrived')
 def stop_and_cut(context):
-    context.watch.stopped_s['entry-1'] = NOW_S - 1
+    context.checker.stop_requested_s['entry-1'] = NOW_S - 1
     _arrive(context)
     _answer(context, 0, whole=False)
 
 
 @when('3 of its kind arrive 1 s after a rest of 3 s was asked for')
 def arrive_in_rest(context):
-    context.runner.rest_s = 3.0
-    context.watch.speaks(b'order-1', context.runner, NOW_S - 1)
+    context.runner.backoff_s = 3.0
+    context.checker.record_announcement(b'order-1', context.runner, NOW_S - 1)
     for number in range(3):
         _ask(context, READ, f'read-{number}')
         _arrive(context, b'read-%d' % number)
@@ -177,24 +181,24 @@
 
 @when('one arrives 3 s after its runner said that it leaves')
 def arrive_leaving(context):
-    context.watch.speaks(b'order-1', context.runner, NOW_S - 3)
+    context.checker.record_announcement(b'order-1', context.runner, NOW_S - 3)
     _arrive(context)
 
 
 @when('it has crashed 3 runners, and 4 more 5 s later')
 def crash_many(context):
-    context.watch.crashed_s += [NOW_S - 9] * 3 + [NOW_S - 4] * 4
-    context.watch.sweep(NOW_S, 0, [])
+    context.checker.crashes_s += [NOW_S - 9] * 3 + [NOW_S - 4] * 4
+    context.checker.sweep(NOW_S, 0, [])
 
 
 @when('a pass has two maps')
 def mix(context):
-    context.watch.sweep(NOW_S, 1, [])
+    context.checker.sweep(NOW_S, 1, [])
 
 
 @when('a process ends by itself')
 def end(context):
-    context.watch.sweep(NOW_S, 0, ['entry-1'])
+    context.checker.sweep(NOW_S, 0, ['entry-1'])
 
 
 @then('the rule "{rule}" is broken')
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Side tools of the maintainers; no daemon uses them."""
+"""Tools for maintainers; not used by any daemon."""
--- a/tools/soak/__init__.py
+++ b/tools/soak/__init__.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The fault soak: real processes on loopback, harmed from outside.
+"""Soak test with fault injection into real processes on loopback.
 
 ``python -m tools.soak run --seed N --minutes M`` starts entries and sidecars
-with emulated runners, plays callers and operators, injects the faults that
-the seed draws, and checks what callers, runners and operators see. Everything
-that a seed decides is in `schedule`; times of real processes differ a little
-between two runs of one seed.
+with emulated runners, simulates callers and operators, injects the faults
+drawn from the seed, and checks what callers, runners and operators observe.
+Everything that depends on the seed is in `schedule`; the timing of real
+processes differs a little between two runs of one seed.
 """
--- a/tools/soak/checks.py
+++ b/tools/soak/checks.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What callers, runners and operators see, and the rules it must keep.
+"""Rules that the observations of callers, runners and operators must meet.
 
-Rules are exact. Bounds in time are generous and come from the sizes. A check
-that holds only without certain faults looks at when the last one was.
+Rules are exact. Time limits are generous and come from the sizes. A rule that
+holds only in the absence of certain faults is not checked soon after one.
 """
 
 import json
@@ -13,31 +13,33 @@
 
 from tools.soak import report, words
 
-__all__ = ['Answer', 'Asked', 'Watch']
-
-#: Statuses that promise: it has not run, and never will.
-PROMISES_NOT_RUN = (408, 421, 429, 503)
-#: What an entry answers to a request that no routes allow; all allow these.
-DENIALS = (400, 401, 403, 404, 405, 409, 410, 413)
-#: Versions whose own route is in each routes document.
-KEPT_VERSIONS = 3
-#: How long a planned stop may take in the settings' defaults.
-GRACE_S = 8.0
-#: What is sent within this after the order to stop may be cut in the last
-#: sixth of that time, if its runner is still at work.
-LATE_SENT_S = 3.0
-#: The last sixth of that time begins here.
-CUT_FROM_PART = 5 / 6
-#: What a runner that has said that it leaves may still get.
-LEAVING_S = 2.0
-#: Crashes by one request, and what may still come once the third is known.
-CRASHES, CRASHES_MORE = 3, 3
-#: Tokens of one event; the emulated engine's stride.
-STRIDE = 5
+__all__ = ['Answer', 'Checker', 'SentRequest']
+
+#: Statuses which guarantee that the request has not run and never will.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+#: Statuses of requests that no route allows; the routes allow all that is
+#: sent here.
+DENIAL_STATUSES = (400, 401, 403, 404, 405, 409, 410, 413)
+#: Number of newest versions that have a route of their own in each routes
+#: document.
+PROBED_VERSIONS = 3
+#: Duration of a planned stop with default settings, at most.
+STOP_GRACE_S = 8.0
+#: A request sent within this time of the stop signal may be cut from
+#: `CUT_FROM_SHARE` of the grace period on, if its runner has not finished.
+MAY_BE_CUT_WITHIN_S = 3.0
+CUT_FROM_SHARE = 5 / 6
+#: How long a runner may receive requests after it announced that it leaves.
+LEAVING_GRACE_S = 2.0
+#: Crashes until a request is quarantined, and further ones that are allowed
+#: once the last of these is known.
+CRASH_LIMIT, MAX_FURTHER_CRASHES = 3, 3
+#: Tokens per event of the emulated engine.
+TOKENS_PER_EVENT = 5
 _EVENT_ID = re.compile(rb'^id: (\d+)$', re.MULTILINE)
 
 
-class Asked(typing.NamedTuple):
+class SentRequest(typing.NamedTuple):
     """One request of a caller."""
 
     request_id: str
@@ -47,256 +49,322 @@
 
 
 class Answer(typing.NamedTuple):
-    """What a caller got; ``status`` 0 where no head came."""
+    """The response to a caller; ``status`` is 0 if no head was received."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    is_whole: bool  # up to its explicit end
-    is_left: bool  # the caller itself broke it off
+    is_whole: bool  # received up to its explicit end
+    is_abandoned: bool  # the caller disconnected before its end
 
 
-class Watch:
-    """Everything seen so far, and the rules."""
+class Checker:
+    """Records the observations of a run and checks them against the rules."""
 
-    def __init__(self, sizes: dict, told: report.Report):
+    def __init__(self, sizes: dict, run_report: report.Report):
         self.sizes = sizes
-        self.check = told.check
-        self.asked: dict[str, Asked] = {}
-        #: How often each request was begun, one table a runner or group.
-        self.runs: list[dict[bytes, int]] = []
-        #: Requests whose answers promise that they have not run.
-        self.promised: set[str] = set()
-        self.arrived: set[str] = set()
-        #: What is out of service, a hall or a runner, since when.
-        self.out_s: dict[str, float] = {}
-        #: When each process or link was last harmed; `inf` while it is.
-        self.harmed_s: dict[str, float] = {}
-        #: When an entry was last told to stop.
-        self.stopped_s: dict[str, float] = {}
-        self.spoken = words.Spoken()
-        #: When runners were ended by the request that crashes them.
-        self.crashed_s: list[float] = []
-        self.acked = self.sent = 0  # newest routes
-        self._contents: dict[int, bytes] = {}
-        self._newest: dict[tuple[str, int], int] = {}  # by life of an entry
-        self._cold: dict[str, list[float]] = {}
-        #: Moments of first and of repeated sends, by service.
-        self._first: dict[str, list[float]] = {}
-        self._repeated: dict[str, list[float]] = {}
-
-    def ran(self, request_id: str) -> int:
-        """Return how often runners have begun a request."""
+        self.check = run_report.check
+        self.sent_requests: dict[str, SentRequest] = {}
+        #: Run count by request id, one table per runner or group.
+        self.run_counts: list[dict[bytes, int]] = []
+        #: Ids of requests whose answers say that they have not run.
+        self.reported_not_run: set[str] = set()
+        self.arrived_ids: set[str] = set()
+        #: Start time by hall or runner that is out of service.
+        self.out_of_service_s: dict[str, float] = {}
+        #: End of the last fault of each process or link; `inf` during one.
+        self.last_fault_s: dict[str, float] = {}
+        #: When each entry was last signaled to stop.
+        self.stop_requested_s: dict[str, float] = {}
+        self.announcements = words.Announcements()
+        #: Times of crashes caused by the request that crashes runners.
+        self.crashes_s: list[float] = []
+        self.acked_version = self.sent_version = 0  # newest routes
+        self._body_by_version: dict[int, bytes] = {}
+        #: Newest version served, by entry and incarnation.
+        self._newest_served: dict[tuple[str, int], int] = {}
+        self._cold_arrivals_s: dict[str, list[float]] = {}
+        #: Times of the first and of repeated sends of requests, by service.
+        self._first_sends_s: dict[str, list[float]] = {}
+        self._repeated_sends_s: dict[str, list[float]] = {}
+
+    def run_count(self, request_id: str) -> int:
+        """Return how often runners have started a request."""
         key = request_id.encode()
-        return sum(table.get(key, 0) for table in self.runs)
+        return sum(table.get(key, 0) for table in self.run_counts)
 
-    def is_calm(self, names: typing.Iterable[str], since_s: float) -> bool:
-        """Return whether none of these was harmed since then."""
-        return all(self.harmed_s.get(n, -math.inf) < since_s for n in names)
+    def had_no_faults(
+        self, names: typing.Iterable[str], since_s: float
+    ) -> bool:
+        """Return whether none of these had a fault since then."""
+        return all(
+            self.last_fault_s.get(n, -math.inf) < since_s for n in names
+        )
 
-    def in_touch(self, entry: str, since_s: float) -> bool:
-        """Return whether an entry, and all that control it, were calm."""
+    def entry_had_no_faults(self, entry: str, since_s: float) -> bool:
+        """Return whether neither an entry nor what controls it had a fault.
+
+        That is the entry, its links, and the entries with a disk.
+        """
         links = [f'{each}-{entry[6:]}' for each in ('front', 'control')]
-        return self.is_calm([entry, 'core', *links], since_s)
+        return self.had_no_faults([entry, 'core', *links], since_s)
 
     # Callers.
 
-    def answered(self, asked: Asked, answer: Answer, now_s: float) -> None:
-        """Take what a caller got for a request."""
+    def record_answer(
+        self, request: SentRequest, answer: Answer, now_s: float
+    ) -> None:
+        """Check the answer to a request."""
         if 200 <= answer.status < 300:
-            self._check_right(asked, answer)
+            self._check_answer(request, answer)
         elif answer.is_whole:
-            self._check_refusal(asked, answer)
-        if not answer.is_left:
-            self._check_stop(asked, answer, now_s)
-
-    def _check_right(self, asked: Asked, answer: Answer) -> None:
-        names_it = answer.headers.get(b'x-request-id', b'').decode()
-        is_right = names_it == asked.request_id
-        if asked.kind['kind'] == 'streaming':
+            self._check_refusal(request, answer)
+        if not answer.is_abandoned:
+            self._check_stop(request, answer, now_s)
+
+    def _check_answer(self, request: SentRequest, answer: Answer) -> None:
+        answered_id = answer.headers.get(b'x-request-id', b'').decode()
+        is_correct = answered_id == request.request_id
+        if request.kind['kind'] == 'streaming':
             ids = [int(n) for n in _EVENT_ID.findall(answer.body)]
-            most = math.ceil(asked.kind['output'] / STRIDE)
-            is_right &= ids == list(range(1, len(ids) + 1))
-            is_right &= len(ids) == most or not answer.is_whole
+            limit = math.ceil(request.kind['output'] / TOKENS_PER_EVENT)
+            is_correct &= ids == list(range(1, len(ids) + 1))
+            is_correct &= len(ids) == limit or not answer.is_whole
         elif answer.is_whole:
-            path = f'/{asked.kind["name"]}/{asked.request_id}'
-            is_right &= _field(answer.body, 'path') == path
-        got = (answer.is_whole, names_it, answer.body[-200:])
-        self.check('whole and right answers', is_right, asked=asked, got=got)
-
-    def _check_refusal(self, asked: Asked, answer: Answer) -> None:
+            path = f'/{request.kind["name"]}/{request.request_id}'
+            is_correct &= _field(answer.body, 'path') == path
+        got = (answer.is_whole, answered_id, answer.body[-200:])
+        self.check(
+            'whole and right answers', is_correct, asked=request, got=got
+        )
+
+    def _check_refusal(self, request: SentRequest, answer: Answer) -> None:
         error = _field(answer.body, 'error') or {}
         status = answer.status
-        if error.get('outcome') == 'not run' or status in PROMISES_NOT_RUN:
-            self.promised.add(asked.request_id)
-            self._check_not_run(asked.request_id)
-        is_denied = status in DENIALS and asked.kind['kind'] != 'probe'
-        self.check('no denials', not is_denied, asked=asked, error=error)
+        if error.get('outcome') == 'not run' or status in NOT_RUN_STATUSES:
+            self.reported_not_run.add(request.request_id)
+            self._check_not_run(request.request_id)
+        is_denied = (
+            status in DENIAL_STATUSES and request.kind['kind'] != 'probe'
+        )
+        self.check('no denials', not is_denied, asked=request, error=error)
 
     def _check_not_run(self, request_id: str) -> None:
-        ran = self.ran(request_id)
-        self.check('not run is true', ran == 0, request=request_id, ran=ran)
-
-    def _check_stop(self, asked: Asked, answer: Answer, now_s: float) -> None:
-        """A planned stop breaks off nothing that has reached a runner."""
-        if self.stopped_s.get(asked.entry, -math.inf) < asked.at_s - GRACE_S:
+        run_count = self.run_count(request_id)
+        self.check(
+            'not run is true',
+            run_count == 0,
+            request=request_id,
+            ran=run_count,
+        )
+
+    def _check_stop(
+        self, request: SentRequest, answer: Answer, now_s: float
+    ) -> None:
+        """Check that a planned stop cuts no request that reached a runner."""
+        if (
+            self.stop_requested_s.get(request.entry, -math.inf)
+            < request.at_s - STOP_GRACE_S
+        ):
             return
-        if not self.is_calm(self.harmed_s, asked.at_s - self.sizes['calm_s']):
+        if not self.had_no_faults(
+            self.last_fault_s, request.at_s - self.sizes['calm_s']
+        ):
             return
-        took_s = now_s - asked.at_s
-        after_s = asked.at_s - self.stopped_s[asked.entry]
-        is_late = after_s + took_s > GRACE_S * CUT_FROM_PART
-        if after_s < LATE_SENT_S and is_late:
-            return  # its runner took nearly all the time that a stop has
-        if took_s * 1000 >= asked.kind['deadline_ms']:
-            return  # its own time was over
-        is_cut = not answer.is_whole and asked.request_id in self.arrived
-        self.check('planned stops cut nothing', not is_cut, asked=asked)
+        took_s = now_s - request.at_s
+        after_s = request.at_s - self.stop_requested_s[request.entry]
+        is_late = after_s + took_s > STOP_GRACE_S * CUT_FROM_SHARE
+        if after_s < MAY_BE_CUT_WITHIN_S and is_late:
+            return  # its runner used up most of the grace period
+        if took_s * 1000 >= request.kind['deadline_ms']:
+            return  # its deadline had passed
+        is_cut = not answer.is_whole and request.request_id in self.arrived_ids
+        self.check('planned stops cut nothing', not is_cut, asked=request)
 
     # Runners.
 
-    def arrive(self, request_id: bytes, runner, now_s: float) -> None:
-        """Take the arrival of a request at a runner."""
+    def record_arrival(self, request_id: bytes, runner, now_s: float) -> None:
+        """Record and check the arrival of a request at a runner."""
         key = request_id.decode('latin-1')
-        asked = self.asked.get(key)
-        self.check('only what was asked', asked is not None, request=key)
-        sends = self._repeated if key in self.arrived else self._first
+        request = self.sent_requests.get(key)
+        self.check('only what was asked', request is not None, request=key)
+        sends = (
+            self._repeated_sends_s
+            if key in self.arrived_ids
+            else self._first_sends_s
+        )
         sends.setdefault(runner.service, []).append(now_s)
-        self.arrived.add(key)
-        if asked is not None:
-            self._check_words(asked, runner, now_s)
-            self._check_out(asked, runner, now_s)
-            self._check_cold(asked, runner, now_s)
-
-    def speaks(self, request_id: bytes, runner, now_s: float) -> None:
-        """Take that a runner's answer tells of the time to come."""
-        asked = self.asked.get(request_id.decode('latin-1'))
-        if asked is None:
+        self.arrived_ids.add(key)
+        if request is not None:
+            self._check_announcements(request, runner, now_s)
+            self._check_out_of_service(request, runner, now_s)
+            self._check_cold(request, runner, now_s)
+
+    def record_announcement(
+        self, request_id: bytes, runner, now_s: float
+    ) -> None:
+        """Record that a runner asks for a backoff, or that it leaves."""
+        request = self.sent_requests.get(request_id.decode('latin-1'))
+        if request is None:
             return
-        if runner.rest_s:
-            told = (runner.name, asked.entry, runner.rest_s, now_s)
-            self.spoken.asks_rest(*told)
+        if runner.backoff_s:
+            backoff = (runner.name, request.entry, runner.backoff_s, now_s)
+            self.announcements.record_backoff(*backoff)
         else:
-            self.spoken.leaves(runner.name, asked.entry, now_s)
+            self.announcements.record_leaving(
+                runner.name, request.entry, now_s
+            )
 
-    def _check_words(self, asked: Asked, runner, now_s: float) -> None:
-        """A runner's word holds for the entry that got it, in touch or not.
+    def _check_announcements(
+        self, request: SentRequest, runner, now_s: float
+    ) -> None:
+        """Check that an entry obeys the announcements it received.
 
-        A harm to the entry or its way to the runner since then excuses it.
+        Not checked after a fault of the entry or of its link to the runner;
+        faults of its control links make no difference.
         """
-        places = (asked.entry, f'link-{runner.name}')
-        count, told_s = self.spoken.in_rest(runner.name, asked.entry, now_s)
-        if told_s < math.inf and self.is_calm(places, told_s):
-            is_kept = count <= words.MOST_IN_REST
+        places = (request.entry, f'link-{runner.name}')
+        count, announced_s = self.announcements.count_in_backoff(
+            runner.name, request.entry, now_s
+        )
+        if announced_s < math.inf and self.had_no_faults(places, announced_s):
+            is_kept = count <= words.MAX_SENDS_IN_BACKOFF
             self.check('rests are kept', is_kept, to=runner.name, count=count)
-        told_s = self.spoken.leaving_s(runner.name, asked.entry)
-        if told_s < math.inf and self.is_calm(places, told_s):
-            is_kept = now_s < told_s + LEAVING_S
+        announced_s = self.announcements.leaving_since_s(
+            runner.name, request.entry
+        )
+        if announced_s < math.inf and self.had_no_faults(places, announced_s):
+            is_kept = now_s < announced_s + LEAVING_GRACE_S
             self.check('who leaves gets nothing', is_kept, to=runner.name)
 
-    def _check_out(self, asked: Asked, runner, now_s: float) -> None:
-        calm_since_s = now_s - self.sizes['out_s']
+    def _check_out_of_service(
+        self, request: SentRequest, runner, now_s: float
+    ) -> None:
+        obeyed_from_s = now_s - self.sizes['out_s']
         places = (runner.hall, runner.name)
-        since_s = min(self.out_s.get(place, math.inf) for place in places)
+        since_s = min(
+            self.out_of_service_s.get(place, math.inf) for place in places
+        )
         if since_s == math.inf:
             return
-        if not self.in_touch(asked.entry, calm_since_s):
+        if not self.entry_had_no_faults(request.entry, obeyed_from_s):
             return
-        if not self.is_calm([f'link-{runner.name}'], calm_since_s):
+        if not self.had_no_faults([f'link-{runner.name}'], obeyed_from_s):
             return
-        over_s = calm_since_s - since_s
+        over_s = obeyed_from_s - since_s
         rule = 'out of service gets nothing'
-        self.check(rule, over_s < 0, places=places, over_s=over_s, asked=asked)
+        self.check(
+            rule, over_s < 0, places=places, over_s=over_s, asked=request
+        )
 
-    def _check_cold(self, asked: Asked, runner, now_s: float) -> None:
+    def _check_cold(self, request: SentRequest, runner, now_s: float) -> None:
         per_s = self.sizes['cold_per_s']
-        if not per_s or now_s > runner.cold_until_s or asked.at_s < now_s - 1:
-            return  # only what was sent within the second counts
-        recent = self._cold.setdefault(runner.name, [])
+        if (
+            not per_s
+            or now_s > runner.cold_until_s
+            or request.at_s < now_s - 1
+        ):
+            return  # only requests sent within the last second count
+        recent = self._cold_arrivals_s.setdefault(runner.name, [])
         recent.append(now_s)
-        sent = _between(recent, now_s - 1, now_s)
-        most = per_s + self.sizes['bounds']['cold_slack']
+        sent = _count_between(recent, now_s - 1, now_s)
+        limit = per_s + self.sizes['bounds']['cold_slack']
         name = runner.name
-        self.check('cold runners are spared', sent <= most, to=name, sent=sent)
+        self.check(
+            'cold runners are spared', sent <= limit, to=name, sent=sent
+        )
 
-    def heartbeat(self, runner, body: dict, now_s: float) -> None:
-        """Take a heartbeat of a runner that was acknowledged."""
-        # One that is acknowledged late may be from before the drain ended.
+    def record_heartbeat(self, runner, body: dict, now_s: float) -> None:
+        """Record an acknowledged heartbeat of a runner."""
+        # A delayed acknowledgement may arrive after the drain has ended.
         if body['state'] == 'draining' and runner.state == 'draining':
-            self.out_s.setdefault(runner.name, now_s)
+            self.out_of_service_s.setdefault(runner.name, now_s)
 
     # Operators.
 
-    def read(self, acked: int, version: int, body: bytes) -> None:
-        """Take routes read back; ``acked`` were those when it was sent."""
+    def record_read(self, acked: int, version: int, body: bytes) -> None:
+        """Check routes that were read back.
+
+        ``acked`` is the version acknowledged when the read was sent.
+        """
         rule = 'acknowledged routes are kept'
         self.check(rule, version >= acked, read=version, acked=acked)
-        is_same = self._contents.setdefault(version, body) == body
+        is_same = self._body_by_version.setdefault(version, body) == body
         self.check('one content a version', is_same, version=version)
 
-    def probe(self, entry: str, life: int, version: int, served: bool) -> None:
-        """Take whether an entry has the route that came with a version."""
-        had = self._newest.get((entry, life), 0)
-        may_lack = version > had or version <= self.sent - KEPT_VERSIONS
+    def record_probe(
+        self, entry: str, incarnation: int, version: int, served: bool
+    ) -> None:
+        """Check whether an entry serves the route of a version."""
+        had = self._newest_served.get((entry, incarnation), 0)
+        may_lack = (
+            version > had or version <= self.sent_version - PROBED_VERSIONS
+        )
         rule = 'entries never go back'
         holds = served or may_lack
         self.check(rule, holds, entry=entry, version=version, had=had)
         if served:
-            self._newest[entry, life] = max(had, version)
+            self._newest_served[entry, incarnation] = max(had, version)
 
-    # All along, and at the end.
+    # Periodically, and at the end.
 
     def sweep(self, now_s: float, mixed_passes: int, ended: list[str]) -> None:
-        """Check what no single event shows."""
+        """Check the rules that span several events."""
         self.check('one map a pass', mixed_passes == 0, mixed=mixed_passes)
         self.check('no process ends by itself', not ended, names=ended)
-        twice = [key for key in self._unsafe() if self.ran(key) > 1]
+        twice = [key for key in self._unsafe() if self.run_count(key) > 1]
         self.check('at most one run', not twice, requests=twice[:5])
-        for service in self._repeated:
+        for service in self._repeated_sends_s:
             self._check_budget(service, now_s)
         self._check_crashes()
 
     def _check_crashes(self) -> None:
-        """A request that has crashed three runners reaches few more."""
-        if len(self.crashed_s) < CRASHES:
+        """Check that a request that crashed runners reaches few others."""
+        if len(self.crashes_s) < CRASH_LIMIT:
             return
-        known_s = self.crashed_s[CRASHES - 1] + self.sizes['calm_s']
-        late = [at_s for at_s in self.crashed_s if at_s > known_s]
+        known_s = self.crashes_s[CRASH_LIMIT - 1] + self.sizes['calm_s']
+        further_s = [at_s for at_s in self.crashes_s if at_s > known_s]
         rule = 'requests that crash runners are held back'
-        self.check(rule, len(late) <= CRASHES_MORE, at_s=late)
+        self.check(rule, len(further_s) <= MAX_FURTHER_CRASHES, at_s=further_s)
 
     def _unsafe(self) -> list[str]:
-        rows = self.asked.items()
-        return [key for key, asked in rows if asked.kind['kind'] == 'unsafe']
+        rows = self.sent_requests.items()
+        return [key for key, sent in rows if sent.kind['kind'] == 'unsafe']
 
     def _check_budget(self, service: str, now_s: float) -> None:
         sizes = self.sizes['bounds']
         window_s = sizes['retry_window_s']
-        first = self._first.get(service, [])
-        sent = _between(self._repeated[service], now_s - window_s, now_s)
-        ends_s = [now_s - part * window_s for part in (0, 0.5, 1)]
-        asked = max(_between(first, end - window_s, end) for end in ends_s)
-        most = sizes['retry_ratio'] * asked + sizes['retry_slack']
+        first = self._first_sends_s.get(service, [])
+        sent = _count_between(
+            self._repeated_sends_s[service], now_s - window_s, now_s
+        )
+        ends_s = [now_s - share * window_s for share in (0, 0.5, 1)]
+        asked = max(
+            _count_between(first, end - window_s, end) for end in ends_s
+        )
+        limit = sizes['retry_ratio'] * asked + sizes['retry_slack']
         rule = 'repeated sends in budget'
-        self.check(rule, sent <= most, to=service, sent=sent, most=most)
+        self.check(rule, sent <= limit, to=service, sent=sent, most=limit)
 
     def finish(self, served: int, asked: int) -> None:
-        """Check the last while, and once more what must hold for ever."""
+        """Check the final service level, and the permanent rules again."""
         is_good = served >= self.sizes['served_part'] * max(1, asked)
         self.check('good service is back', is_good, served=served, of=asked)
-        for request_id in self.promised:
+        for request_id in self.reported_not_run:
             self._check_not_run(request_id)
         for key in self._unsafe():
-            ran = self.ran(key)
-            self.check('at most one run', ran <= 1, request=key, ran=ran)
+            run_count = self.run_count(key)
+            self.check(
+                'at most one run', run_count <= 1, request=key, ran=run_count
+            )
 
 
-def _between(moments_s: list[float], from_s: float, to_s: float) -> int:
-    return sum(from_s < at_s <= to_s for at_s in moments_s)
+def _count_between(times_s: list[float], from_s: float, to_s: float) -> int:
+    return sum(from_s < at_s <= to_s for at_s in times_s)
 
 
 def _field(body: bytes, name: str) -> typing.Any:
-    """Return a field of a JSON body, None where there is none."""
+    """Return a field of a JSON body, or None if it has none."""
     try:
         found = json.loads(body)
     except ValueError:
--- a/tools/soak/fleet.py
+++ b/tools/soak/fleet.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""The real processes of a run, and the links before each of them."""
+"""The real processes of a run, and the links in front of them."""
 
 import pathlib
 import signal
@@ -14,15 +14,15 @@
 
 __all__ = ['Fleet', 'take_net']
 
-#: Loopback nets 127.0.N that runs of the soak use, one each.
+#: Loopback networks 127.0.N, one for each concurrent run.
 NETS = range(40, 80)
-#: Held on the last address of its net by the run that uses it.
+#: Bound on the last address of a network by the run that uses it.
 LOCK_PORT = 6900
 PORTS = {'front': 8000, 'control': 8002, 'directory': 8003}
 
 
 def take_net() -> tuple[str, socket.socket]:
-    """Return the prefix of a free loopback net, and what keeps it taken."""
+    """Return the prefix of a free loopback network, and its lock."""
     for net in NETS:
         lock = socket.socket()
         try:
@@ -30,11 +30,11 @@
             return f'127.0.{net}.', lock
         except OSError:
             lock.close()
-    raise RuntimeError('all loopback nets of the soak are taken')
+    raise RuntimeError('all loopback networks of the soak test are in use')
 
 
 class Fleet(lab.Lab):
-    """Entries and sidecars, by name, with a link before each address."""
+    """Entries and sidecars, by name, with a link in front of each address."""
 
     def __init__(self, sizes: dict, folder: pathlib.Path, net: str, seed: int):
         load = {**sizes, 'seed': seed, 'kinds': []}
@@ -42,10 +42,10 @@
         self.sizes = sizes
         self.names = [f'entry-{n}' for n in range(sizes['entries'])]
         self.by_name: dict[str, subprocess.Popen] = {}
-        #: Processes that the soak itself has ended and not started again.
-        self.away: set[str] = set()
-        #: Number of the life of each process, from 1 on.
-        self.lives: dict[str, int] = {}
+        #: Processes that the soak test has ended and not started again.
+        self.stopped: set[str] = set()
+        #: Incarnation number of each process, from 1.
+        self.incarnations: dict[str, int] = {}
         self.links = {
             f'{kind}-{n}': links.Link(f'{net}{n + 1}:{port}')
             for n in range(sizes['entries'])
@@ -53,17 +53,17 @@
         }
 
     def start(self, name: str, host: str, settings: dict) -> None:
-        """Start a process under the bounds of the run."""
+        """Start a process with the bounds and halls of the run."""
         bounds = {k: float(v) for k, v in self.sizes['bounds'].items()}
         hall, halls = self.hall_of(name), self.sizes['halls']
-        mine = {'hall': hall, 'halls': halls, 'bounds': bounds}
-        super().start(name, host, {**settings, **mine})
+        overrides = {'hall': hall, 'halls': halls, 'bounds': bounds}
+        super().start(name, host, {**settings, **overrides})
         self.by_name[name] = self.processes[-1]
-        self.lives[name] = self.lives.get(name, 0) + 1
-        self.away.discard(name)
+        self.incarnations[name] = self.incarnations.get(name, 0) + 1
+        self.stopped.discard(name)
 
-    def again(self, name: str) -> None:
-        """Start a process again that was ended."""
+    def restart(self, name: str) -> None:
+        """Start a process again that has ended."""
         kind, _, number = name.partition('-')
         if kind == 'entry':
             self.start_entry(int(number), founding=False)
@@ -71,47 +71,47 @@
             self.start_sidecar(int(number))
 
     def hall_of(self, name: str) -> str:
-        """Return the hall of a process or runner, by its number."""
+        """Return the hall of a process or runner, from its number."""
         halls = self.sizes['halls']
         return halls[int(name.rpartition('-')[2]) % len(halls)]
 
     def address(self, kind: str) -> str:
-        """Return the link to ``kind`` of an entry, drawn anew each time."""
+        """Return the address of the link to ``kind`` of a random entry."""
         link = self.links[f'{kind}-{self.rng.randrange(len(self.names))}']
-        return links.listen_of(link.target)
+        return links.link_address(link.target)
 
     async def post(self, path: bytes, body: bytes) -> int:
-        """Send a control call to some entry and return its status."""
+        """Send a control call to a random entry and return the status."""
         return (await self.ask(self.address('control'), path, body))[0]
 
-    # Signals, only ever by the handle of what was started here.
+    # Signals, sent only to processes started here.
 
     def signal(self, name: str, number: int) -> None:
-        """Send a signal to a process unless the soak has ended it."""
-        if name not in self.away:
+        """Send a signal to a process unless the soak test has ended it."""
+        if name not in self.stopped:
             self.by_name[name].send_signal(number)
 
     def kill(self, name: str) -> None:
         """Kill a process at once."""
-        self.away.add(name)
+        self.stopped.add(name)
         self.by_name[name].kill()
         self.by_name[name].wait()
 
     async def stop(self, name: str, limit_s: float) -> float:
-        """Stop a process as planned; return the seconds that it took.
+        """Stop a process gracefully; return the seconds that it took.
 
-        It is killed once ``limit_s`` is over.
+        It is killed after ``limit_s``.
         """
-        process, began_s = self.by_name[name], trio.current_time()
+        process, started_s = self.by_name[name], trio.current_time()
         process.send_signal(signal.SIGTERM)
-        self.away.add(name)
+        self.stopped.add(name)
         while process.poll() is None:
-            if trio.current_time() - began_s > limit_s:
+            if trio.current_time() - started_s > limit_s:
                 self.kill(name)
             await trio.sleep(0.05)
-        return trio.current_time() - began_s
+        return trio.current_time() - started_s
 
     def ended(self) -> list[str]:
         """Return the processes that have ended by themselves."""
-        here = [name for name in self.by_name if name not in self.away]
-        return [n for n in here if self.by_name[n].poll() is not None]
+        expected = [name for name in self.by_name if name not in self.stopped]
+        return [n for n in expected if self.by_name[n].poll() is not None]
--- a/tools/soak/links.py
+++ b/tools/soak/links.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A loopback proxy on one link, which can be delayed, held and reset."""
+"""A loopback TCP proxy that can delay, block and reset connections."""
 
 import collections
 import socket
@@ -10,58 +10,57 @@
 
 from mountridge.net import listening
 
-__all__ = ['BACK', 'LATE', 'Link', 'TO', 'listen_of']
+__all__ = ['DELAYED', 'Link', 'TO_CLIENT', 'TO_SERVER', 'link_address']
 
-#: Directions: to the process that listens, and back to who connected; and
-#: what is late in both of them.
-TO, BACK, LATE = 'to', 'back', 'late'
+#: Faults of a link: either direction blocked, or both delayed.
+TO_SERVER, TO_CLIENT, DELAYED = 'to', 'back', 'late'
 READ_BYTES = 65536
-#: By how much each read of a late link is passed on later.
+#: Delay of each read of a delayed link.
 DELAY_S = 0.2
-#: How often a held direction looks whether it may go on.
+#: How often a blocked direction checks whether it may continue.
 POLL_S = 0.01
-#: A link listens on the port of its process, plus this.
+#: Distance of a link's port from the port of its process.
 PORT_OFFSET = 500
 
 
-def listen_of(address: str) -> str:
-    """Return the address of the link before the process at ``address``."""
+def link_address(address: str) -> str:
+    """Return the address of the link to the process at ``address``."""
     host, _, port = address.rpartition(':')
     return f'{host}:{int(port) + PORT_OFFSET}'
 
 
 class Link:
-    """What lies between all clients of one address and its process."""
+    """A proxy between all clients of one address and its process."""
 
     def __init__(self, target: str):
         self.target = target
-        #: How many faults hold each direction, or make both late.
-        self.harmed: collections.Counter[str] = collections.Counter()
+        #: Number of active faults that block a direction, or delay both.
+        self.active_faults: collections.Counter[str] = collections.Counter()
         self._open: set[trio.SocketStream] = set()
-        #: Set while its process lives; else it refuses as a dead port does.
+        #: Set while its process is up; otherwise connections are refused.
         self._is_up = trio.Event()
         self._is_up.set()
         self._listening = trio.CancelScope()
 
     async def run(self) -> None:
-        """Pass connections on until cancelled."""
+        """Forward connections until cancelled."""
         while True:
             await self._is_up.wait()
-            made = trio.socket.from_stdlib_socket(
-                listening.listen(listen_of(self.target))
+            listening_socket = trio.socket.from_stdlib_socket(
+                listening.listen(link_address(self.target))
             )
             with trio.CancelScope() as self._listening:
-                listener = trio.SocketListener(made)
+                listener = trio.SocketListener(listening_socket)
                 await trio.serve_listeners(self._connect, [listener])
 
     def refuse(self) -> None:
-        """Reset what is open and refuse what comes, until `accept`."""
+        """Reset open connections and refuse new ones until `accept`."""
         self._is_up = trio.Event()
         self.reset()
         self._listening.cancel()
 
     def accept(self) -> None:
-        """Take connections again."""
+        """Accept connections again."""
         self._is_up.set()
 
     async def _connect(self, client: trio.SocketStream) -> None:
@@ -72,10 +71,10 @@
             server = await trio.open_tcp_stream(host, int(port))
             self._open.add(server)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._pump, client, server, TO)
-                nursery.start_soon(self._pump, server, client, BACK)
+                nursery.start_soon(self._pump, client, server, TO_SERVER)
+                nursery.start_soon(self._pump, server, client, TO_CLIENT)
         except* (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            # One side is gone: so is the other, with what was under way.
+            # Once one side has failed, the other is reset as well.
             _reset(client)
             _reset(server)
         finally:
@@ -83,19 +82,19 @@
                 self._open.discard(stream)
                 await trio.aclose_forcefully(stream)
 
-    async def _pump(self, source, sink, way: str) -> None:
+    async def _pump(self, source, sink, direction: str) -> None:
         data = b'-'
         while data:
             data = await source.receive_some(READ_BYTES)
-            await trio.sleep(DELAY_S * self.harmed[LATE])
-            while self.harmed[way]:
+            await trio.sleep(DELAY_S * self.active_faults[DELAYED])
+            while self.active_faults[direction]:
                 await trio.sleep(POLL_S)
             if data:
                 await sink.send_all(data)
         await sink.send_eof()
 
     def reset(self) -> None:
-        """Reset all connections, with what is on its way in them."""
+        """Reset all connections and drop the data in flight."""
         for stream in list(self._open):
             _reset(stream)
 
--- a/tools/soak/loads.py
+++ b/tools/soak/loads.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Callers: ask the directory, keep connections, send, stream, leave early."""
+"""Emulated callers, which find entries in the directory and send requests."""
 
 import json
 import math
@@ -15,26 +15,26 @@
 __all__ = ['Caller']
 
 NAMES = dialects.NATIVE.headers
-#: A caller waits this much longer than its deadline, then gives up.
-PATIENCE_S = 1.0
+#: How long a caller waits beyond its deadline.
+EXTRA_WAIT_S = 1.0
 CONNECT_S = 1.0
-#: One that leaves early does so within this.
-LEAVES_S = 0.3
+#: A caller that abandons its request does so within this time.
+MAX_ABANDON_S = 0.3
 
 
 class Caller:
-    """One caller, with connections of its own."""
+    """A caller with its own connections."""
 
     def __init__(
-        self, made: fleet.Fleet, watch: checks.Watch, rng: random.Random
+        self, system: fleet.Fleet, checker: checks.Checker, rng: random.Random
     ):
-        self.made = made
-        self.watch = watch
+        self.system = system
+        self.checker = checker
         self.rng = rng
         self.pool = lasthop.Pool(NAMES, trio.current_time, CONNECT_S)
-        self.known: list[str] = []
-        self.known_until_s = 0.0
-        #: The entry in use, until a connection to it ends.
+        self.addresses: list[str] = []
+        self.addresses_until_s = 0.0
+        #: The entry in use, until it closes a connection or fails.
         self.front = ''
         self.asked = self.served = 0
 
@@ -48,64 +48,66 @@
                 nursery.start_soon(self._call, kind)
 
     async def _choose(self) -> str:
-        """Return the entry to send to: the one in use, or another."""
+        """Return the entry in use, or choose another one."""
         now_s = trio.current_time()
-        if now_s > self.known_until_s:
-            address = self.made.address('directory')
-            status, body = await self.made.ask(address, b'/')
+        if now_s > self.addresses_until_s:
+            address = self.system.address('directory')
+            status, body = await self.system.ask(address, b'/')
             if status == 200:
-                told = json.loads(body)
-                self.known = told['addresses']
-                self.known_until_s = now_s + told['ttl_s']
-        if not self.front and self.known:
-            self.front = self.rng.choice(self.known)
+                reply = json.loads(body)
+                self.addresses = reply['addresses']
+                self.addresses_until_s = now_s + reply['ttl_s']
+        if not self.front and self.addresses:
+            self.front = self.rng.choice(self.addresses)
         return self.front
 
     async def _call(self, kind: dict) -> None:
         front = await self._choose()
         if not front:
             return
-        leaves = self.rng.random() < self.made.sizes['leave_part']
-        patience_s = LEAVES_S * self.rng.random() if leaves else math.inf
-        answer = await self.ask(kind, front, patience_s)
+        abandons = self.rng.random() < self.system.sizes['leave_part']
+        abandon_after_s = (
+            MAX_ABANDON_S * self.rng.random() if abandons else math.inf
+        )
+        answer = await self.ask(kind, front, abandon_after_s)
         is_last = answer.headers.get(b'connection') == b'close'
         if self.front == front and (is_last or answer.status in (0, 503)):
-            self.front, self.known_until_s = '', 0.0
+            self.front, self.addresses_until_s = '', 0.0
         self.asked += 1
         self.served += answer.is_whole and answer.status == 200
 
     async def ask(
-        self, kind: dict, front: str, patience_s: float = math.inf
+        self, kind: dict, front: str, abandon_after_s: float = math.inf
     ) -> checks.Answer:
-        """Send one request to an entry, and let its answer be checked."""
+        """Send one request to an entry, check its answer and return it."""
         now_s = trio.current_time()
         request_id = f'{kind["name"]}-{self.rng.getrandbits(64):016x}'
-        entry = self.made.names[self.made.fronts.index(front)]
-        asked = checks.Asked(request_id, kind, entry, now_s)
-        self.watch.asked[request_id] = asked
-        deadline_s = kind['deadline_ms'] / 1000 + PATIENCE_S
-        until_s = now_s + min(deadline_s, patience_s)
-        answer = await self._send(asked, front, until_s)
-        self.watch.answered(asked, answer, trio.current_time())
+        entry = self.system.names[self.system.fronts.index(front)]
+        request = checks.SentRequest(request_id, kind, entry, now_s)
+        self.checker.sent_requests[request_id] = request
+        deadline_s = kind['deadline_ms'] / 1000 + EXTRA_WAIT_S
+        until_s = now_s + min(deadline_s, abandon_after_s)
+        answer = await self._send(request, front, until_s)
+        self.checker.record_answer(request, answer, trio.current_time())
         return answer
 
     async def _send(
-        self, asked: checks.Asked, front: str, until_s: float
+        self, request: checks.SentRequest, front: str, until_s: float
     ) -> checks.Answer:
-        kind = asked.kind
+        kind = request.kind
         method = b'POST' if kind['kind'] == 'unsafe' else b'GET'
         body = b'{"by": "a caller"}' if method == b'POST' else b''
         headers = [
             (b'Host', b'soak.example'),
-            (NAMES.request_id, asked.request_id.encode()),
+            (NAMES.request_id, request.request_id.encode()),
             (NAMES.deadline_ms, b'%d' % kind['deadline_ms']),
             (NAMES.token_counts, b'%d,%d' % (kind['prompt'], kind['output'])),
             (b'Content-Length', b'%d' % len(body)),
         ]
-        # Some requests come again and again, by any caller, just as they were.
-        name = kind.get('same') or asked.request_id
+        # Some kinds send an identical request each time, from any caller.
+        name = kind.get('same') or request.request_id
         target = f'/{kind["name"]}/{name}'.encode()
-        address = links.listen_of(front)
+        address = links.link_address(front)
         sent = (address, method, target, headers, body, None)
         status, named, pieces, is_whole = 0, {}, [], False
         with trio.move_on_at(until_s) as scope:
@@ -117,6 +119,8 @@
                         pieces.append(piece)
                     is_whole = True
             except errors.MountridgeError:
-                pass  # what came until the cut is judged
-        left = scope.cancelled_caught
-        return checks.Answer(status, named, b''.join(pieces), is_whole, left)
+                pass  # what was received until the failure is checked
+        abandoned = scope.cancelled_caught
+        return checks.Answer(
+            status, named, b''.join(pieces), is_whole, abandoned
+        )
--- a/tools/soak/mutants.py
+++ b/tools/soak/mutants.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Builds with a fault put in, which a run of the soak must find."""
+"""Mutants of the product that a run of the soak test must detect."""
 
 import json
 import pathlib
@@ -13,77 +13,80 @@
 
 __all__ = ['MUTANTS', 'main']
 
-#: Seeds that are played until one finds the fault, and for how long.
+#: Seeds to run until one detects the mutant, and minutes for each.
 SEEDS, MINUTES = (1, 2, 3), '1'
 
 
-class Shown(typing.NamedTuple):
-    """The rule that must show a mutant, and the sizes that bring it about."""
+class Expectation(typing.NamedTuple):
+    """The rule that must detect a mutant, and the sizes to run with."""
 
     rule: str
     sizes: str = ''
 
 
-#: Sizes with runners that tell what they want, and one that is ended.
-WORDS = 'tools/soak/words.yaml'
+#: Sizes with backoffs, leaving runners and a request that crashes runners.
+ANNOUNCEMENT_SIZES = 'tools/soak/words.yaml'
 
 MUTANTS = {
-    'forwarding: what may not be repeated is': Shown('at most one run'),
-    'forwarding: what is under way is called not run': Shown(
+    'forwarding: what may not be repeated is': Expectation('at most one run'),
+    'forwarding: what is under way is called not run': Expectation(
         'not run is true'
     ),
-    'last hop: cut answers look whole': Shown('whole and right answers'),
-    'entry: go before all are armed': Shown('one map a pass'),
-    'budgets: no bound': Shown('repeated sends in budget'),
-    'entry: a planned stop waits for no answer': Shown(
+    'last hop: cut answers look whole': Expectation('whole and right answers'),
+    'entry: go before all are armed': Expectation('one map a pass'),
+    'budgets: no bound': Expectation('repeated sends in budget'),
+    'entry: a planned stop waits for no answer': Expectation(
         'planned stops cut nothing'
     ),
-    'rests: none is heard': Shown('rests are kept', WORDS),
-    'rests: no word of leaving is heard': Shown(
-        'who leaves gets nothing', WORDS
+    'rests: none is heard': Expectation('rests are kept', ANNOUNCEMENT_SIZES),
+    'rests: no word of leaving is heard': Expectation(
+        'who leaves gets nothing', ANNOUNCEMENT_SIZES
     ),
-    'quarantine: no crash is counted': Shown(
-        'requests that crash runners are held back', WORDS
+    'quarantine: no crash is counted': Expectation(
+        'requests that crash runners are held back', ANNOUNCEMENT_SIZES
     ),
 }
 
 
-def _play(seed: int, place: pathlib.Path, sizes: str) -> dict[str, int]:
-    """Return the rules that a run of the copied tree broke."""
+def _play(seed: int, tree: pathlib.Path, sizes: str) -> dict[str, int]:
+    """Return the rules broken by a run of the copied tree."""
     command = [sys.executable, '-m', 'tools.soak', 'run', '--out', 'kept']
     command += ['--seed', str(seed), '--minutes', MINUTES]
     command += ['--sizes', sizes] if sizes else []
-    env = {'PYTHONPATH': str(place), 'PATH': '/usr/bin:/bin'}
+    env = {'PYTHONPATH': str(tree), 'PATH': '/usr/bin:/bin'}
     done = subprocess.run(
-        command, cwd=place, env=env, capture_output=True, text=True
+        command, cwd=tree, env=env, capture_output=True, text=True
     )
     if not done.stdout:
         raise RuntimeError(done.stderr[-2000:])
     return json.loads(done.stdout)['broken']
 
 
-def run(shown: Shown, fault: mutants.Mutant) -> str:
-    """Return what became of a mutant."""
+def run(expected: Expectation, fault: mutants.Mutant) -> str:
+    """Return the result of a mutant."""
     with tempfile.TemporaryDirectory() as folder:
-        place = pathlib.Path(folder) / 'tree'
-        times = mutants.copy_with(fault, place)
+        tree = pathlib.Path(folder) / 'tree'
+        times = mutants.copy_with(fault, tree)
         if times != 1:
             return f'stands {times} times'
         for seed in SEEDS:
-            broken = _play(seed, place, shown.sizes)
-            if shown.rule in broken:
+            broken = _play(seed, tree, expected.sizes)
+            if expected.rule in broken:
                 return f'caught by seed {seed}: {broken}'
     return 'LIVES'
 
 
 def main(names: tuple[str, ...]) -> int:
-    """Run all, or those whose name holds one of these; 1 if one lives."""
-    living = 0
+    """Run all, or those whose name contains one of ``names``.
+
+    Returns 1 if a mutant survived.
+    """
+    survived = 0
     for fault in mutants.MUTANTS:
         is_named = not names or any(name in fault.name for name in names)
         if fault.name not in MUTANTS or not is_named:
             continue
         state = run(MUTANTS[fault.name], fault)
-        living += not state.startswith('caught')
+        survived += not state.startswith('caught')
         print(f'{fault.name}: {state}', flush=True)
-    return 1 if living else 0
+    return 1 if survived else 0
--- a/tools/soak/operators.py
+++ b/tools/soak/operators.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Operators: change routes, race, send again, take halls out and back."""
+"""Emulated operators, who change routes and drain and restore halls."""
 
 import json
 import typing
@@ -12,30 +12,30 @@
 
 __all__ = ['Operator']
 
-#: An order without an acknowledgement is sent so often, to other entries.
-MOST_SENDS = 4
-#: A request for the route of one version.
+#: Attempts to send an order until it is acknowledged, to random entries.
+MAX_SENDS = 4
+#: Kind of the requests for the route of one version.
 PROBE = {'kind': 'probe', 'deadline_ms': 2500, 'prompt': 0, 'output': 0}
 
 
 def _route(
     name: str, kind: str = 'safe', service: str = 'plain', ms: float = 2500.0
 ) -> list:
-    streams = kind == 'streaming'
+    is_streaming = kind == 'streaming'
     place = ['soak.example', f'/{name}/', kind, ms, 500.0, 1]
-    return [name, *place, [[service, 1.0]], 2, True, streams, 0.0]
+    return [name, *place, [[service, 1.0]], 2, True, is_streaming, 0.0]
 
 
 def document(sizes: dict, version: int, variant: str = '') -> bytes:
-    """Return a routes document; its newest versions have own routes."""
+    """Return a routes document, with a route for each newest version."""
     listed = [
         _route(
             kind['name'], kind['kind'], kind['service'], kind['deadline_ms']
         )
         for kind in sizes['kinds']
     ]
-    first = max(1, version - checks.KEPT_VERSIONS + 1)
-    listed += [_route(f'at-{n}') for n in range(first, version + 1)]
+    oldest = max(1, version - checks.PROBED_VERSIONS + 1)
+    listed += [_route(f'at-{n}') for n in range(oldest, version + 1)]
     if variant:
         listed.append(_route(variant))
     sheet = engine.EngineSheet()
@@ -49,47 +49,49 @@
 
 
 class Operator:
-    """Sends orders and reads back what holds."""
+    """Sends orders and reads back the routes in force."""
 
     def __init__(self, caller: loads.Caller, note: typing.Callable):
-        self.made = caller.made
-        self.watch = caller.watch
+        self.system = caller.system
+        self.checker = caller.checker
         self.caller = caller
         self.note = note
-        #: Halls that are out of service, or may be.
-        self.out: set[str] = set()
+        #: Halls that are drained, or may be.
+        self.drained: set[str] = set()
         self._sent: dict[int, bytes] = {}
 
-    async def first(self) -> None:
-        """Put the first routes, and wait until they are acknowledged."""
-        while self.watch.acked == 0:
-            await self._put(1, document(self.made.sizes, 1))
+    async def put_first_routes(self) -> None:
+        """Put the first routes until they are acknowledged."""
+        while self.checker.acked_version == 0:
+            await self._put(1, document(self.system.sizes, 1))
 
     async def carry_out(self, order: schedule.Order) -> None:
         """Carry out one order of the plan."""
         if order.kind == 'hall':
-            await self._turn_hall(order.pick)
+            await self._toggle_hall(order.pick)
             return
-        version = self.watch.sent
+        version = self.checker.sent_version
         if order.kind in ('put', 'race'):
             version += 1
         if order.kind == 'old':
             version = max(1, version - 1 - order.pick % 3)
-        source = document(self.made.sizes, version)
+        source = document(self.system.sizes, version)
         async with trio.open_nursery() as nursery:
             if order.kind == 'race':
-                other = document(self.made.sizes, version, 'raced')
+                other = document(self.system.sizes, version, 'raced')
                 nursery.start_soon(self._put, version, other)
-            again = self._sent.get(version, source)
-            nursery.start_soon(self._put, version, again)
+            body = self._sent.get(version, source)
+            nursery.start_soon(self._put, version, body)
         await self.read()
 
     async def _send(self, path: str, body: bytes) -> tuple[int, bytes]:
-        """Send an order until it is answered by other than 503."""
+        """Send an order until it is answered with another status than 503."""
         status, answer = 503, b''
-        for _ in range(MOST_SENDS):
-            address = self.made.address('control')
-            status, answer = await self.made.ask(address, path.encode(), body)
+        for _ in range(MAX_SENDS):
+            address = self.system.address('control')
+            status, answer = await self.system.ask(
+                address, path.encode(), body
+            )
             self.note('order', path=path, status=status)
             if status != 503:
                 break
@@ -97,55 +99,57 @@
         return status, answer
 
     async def _put(self, version: int, source: bytes) -> None:
-        self.watch.sent = max(self.watch.sent, version)
+        self.checker.sent_version = max(self.checker.sent_version, version)
         self._sent.setdefault(version, source)
         status, answer = await self._send('/v1/routes/put', source)
         rule = 'orders sent again are taken'
-        self.watch.check(rule, status in (200, 503), version=version)
+        self.checker.check(rule, status in (200, 503), version=version)
         if status == 200:
-            held = json.loads(answer)['version']
-            self.watch.acked = max(self.watch.acked, held, version)
+            in_force = json.loads(answer)['version']
+            self.checker.acked_version = max(
+                self.checker.acked_version, in_force, version
+            )
 
     async def read(self) -> None:
-        """Read the routes back, from some entry."""
-        acked = self.watch.acked
-        address = self.made.address('control')
-        status, body = await self.made.ask(address, b'/v1/routes/get')
+        """Read the routes back from a random entry and check them."""
+        acked = self.checker.acked_version
+        address = self.system.address('control')
+        status, body = await self.system.ask(address, b'/v1/routes/get')
         if status == 200:
-            self.watch.read(acked, json.loads(body)[0], body)
+            self.checker.record_read(acked, json.loads(body)[0], body)
 
     async def probe(self, name: str) -> int:
         """Return the newest version whose route an entry serves, 0 if none.
 
-        Each version is asked for by a request of its own.
+        Sends one request per version.
         """
-        life, newest = self.made.lives[name], self.watch.sent
-        front = self.made.fronts[self.made.names.index(name)]
-        oldest = max(1, newest - checks.KEPT_VERSIONS + 1)
+        life, newest = (
+            self.system.incarnations[name],
+            self.checker.sent_version,
+        )
+        front = self.system.fronts[self.system.names.index(name)]
+        oldest = max(1, newest - checks.PROBED_VERSIONS + 1)
         for version in range(newest, oldest - 1, -1):
             kind = {**PROBE, 'name': f'at-{version}'}
             status = (await self.caller.ask(kind, front)).status
-            if status in (200, 404) and life == self.made.lives[name]:
-                self.watch.probe(name, life, version, status == 200)
+            if status in (200, 404) and life == self.system.incarnations[name]:
+                self.checker.record_probe(name, life, version, status == 200)
             if status == 200:
                 return version
         return 0
 
-    async def _turn_hall(self, pick: int) -> None:
-        """Take a hall out of service, or put it back if one is out.
-
-        An entry that does not know the call answers 404.
-        """
-        halls = self.made.sizes['halls']
-        is_back = bool(self.out)
-        hall = min(self.out) if is_back else halls[pick % len(halls)]
-        if is_back:
-            self.watch.out_s.pop(hall, None)
-        call = 'restore' if is_back else 'drain'
+    async def _toggle_hall(self, pick: int) -> None:
+        """Drain a hall, or restore one if any is drained."""
+        halls = self.system.sizes['halls']
+        is_restore = bool(self.drained)
+        hall = min(self.drained) if is_restore else halls[pick % len(halls)]
+        if is_restore:
+            self.checker.out_of_service_s.pop(hall, None)
+        call = 'restore' if is_restore else 'drain'
         status, _ = await self._send(f'/v1/halls/{hall}/{call}', b'')
-        if status == 200 and is_back:
-            self.out.discard(hall)
+        if status == 200 and is_restore:
+            self.drained.discard(hall)
         elif status == 200:
-            self.watch.out_s[hall] = trio.current_time()
-        if status in (200, 503) and not is_back:
-            self.out.add(hall)  # perhaps, where nothing was acknowledged
+            self.checker.out_of_service_s[hall] = trio.current_time()
+        if status in (200, 503) and not is_restore:
+            self.drained.add(hall)  # also if the outcome is unknown
--- a/tools/soak/report.py
+++ b/tools/soak/report.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a run did, as JSON lines; and its verdict, kept with all logs."""
+"""Event log of a run, as JSON lines, and its verdict."""
 
 import collections
 import json
@@ -12,12 +12,12 @@
 
 __all__ = ['Report']
 
-#: Breaks of one rule that are told whole; the rest is only counted.
-MOST_TOLD = 20
+#: Violations of one rule that are logged; further ones are only counted.
+MAX_LOGGED_VIOLATIONS = 20
 
 
 class Report:
-    """The record of one run in its folder; made inside the run."""
+    """The event log and counts of one run; must be created within the run."""
 
     def __init__(self, folder: pathlib.Path):
         self.folder = folder
@@ -28,24 +28,24 @@
         self._events = open(folder / 'events.jsonl', 'w')
 
     def note(self, what: str, **fields: typing.Any) -> None:
-        """Write one line on what the soak did or saw."""
+        """Write one line on an action or an observation."""
         at_s = round(trio.current_time() - self.begun_s, 3)
         line = {'at_s': at_s, 'what': what, **fields}
         self._events.write(json.dumps(line, default=str) + '\n')
         self.done[fields.get('kind', what)] += 1
 
     def check(self, rule: str, holds: bool, **fields: typing.Any) -> None:
-        """Count a check of a rule, and note where it does not hold."""
+        """Count a check of a rule, and log it if the rule is broken."""
         self.checked[rule] += 1
         if holds:
             return
         self.broken[rule] += 1
-        if self.broken[rule] <= MOST_TOLD:
+        if self.broken[rule] <= MAX_LOGGED_VIOLATIONS:
             self.note('broken', rule=rule, **fields)
-            self.say(f'BROKEN {rule}: {fields}')
+            self.print_progress(f'BROKEN {rule}: {fields}')
 
-    def say(self, text: str) -> None:
-        """Tell the progress on standard error."""
+    def print_progress(self, text: str) -> None:
+        """Print progress on standard error."""
         at_s = trio.current_time() - self.begun_s
         print(f'{at_s:6.1f} s: {text}', file=sys.stderr, flush=True)
 
--- a/tools/soak/runners.py
+++ b/tools/soak/runners.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Emulated runners with lives, each behind a link of its own."""
+"""Emulated runners that can restart, each behind its own link."""
 
 import random
 import time
@@ -12,21 +12,21 @@
 from standins import engine, engineserver
 from tools.soak import checks, fleet, links, words
 
-__all__ = ['Built', 'Runner', 'build']
+__all__ = ['EmulatedRunners', 'Runner', 'build']
 
 NAMES = dialects.NATIVE.headers
 PORT = 9000
 PLAIN_SLOTS = 8
 PLAIN_WORK_S = 0.02
-#: Requests whose path begins so end the runner that begins to run them.
-KILLER = b'/killer/'
-KILLED_S = 2.0
-#: Bytes that are no answer in the protocol.
+#: Path prefix of requests that crash the runner that starts them.
+CRASHING_PATH = b'/killer/'
+CRASH_DOWN_S = 2.0
+#: Bytes that are not a valid HTTP response.
 GARBLED = b'\x00\x17 not an answer \r\n\r\n'
 
 
 class Runner:
-    """One runner: its handler, its address, and its present life."""
+    """One runner: its handler, address and current incarnation."""
 
     def __init__(
         self,
@@ -42,41 +42,43 @@
         self.address = address
         self.link = links.Link(address)
         self.handler, self.faults = stand_in
-        self.garbled = 0.0  # share of its requests answered with nonsense
+        self.garbled = 0.0  # share of requests with an invalid response
         self.state = 'ready'
-        self.rest_s = 0.0  # turns all away, and asks for so much rest
-        self.is_leaving = False  # all its answers say so
+        self.backoff_s = 0.0  # if set, refuses requests and asks for it
+        self.is_leaving = False  # announced in all its answers
         self.cold_until_s = 0.0
-        self._down_s = 0.0  # until its next life
-        self._life = trio.CancelScope()
+        self._down_s = 0.0  # until the next incarnation
+        self._incarnation = trio.CancelScope()
 
     def end(self, down_s: float) -> None:
-        """End this life; the next begins ``down_s`` later, and cold."""
+        """End this incarnation; the next starts after ``down_s``, cold."""
         self._down_s = down_s
-        self._life.cancel()
+        self._incarnation.cancel()
 
-    async def run(self, made: fleet.Fleet, watch: checks.Watch) -> None:
-        """Live, and live again after each end, until cancelled."""
-        served = self._watched(made.rng, watch)
+    async def run(self, system: fleet.Fleet, checker: checks.Checker) -> None:
+        """Run, and restart after each end, until cancelled."""
+        handler = self._observed(system.rng, checker)
         limits = engineserver.limits
         while True:
             self.link.accept()
-            server = httpserver.Server(served, limits, lambda: False)
-            with trio.CancelScope() as self._life:
+            server = httpserver.Server(handler, limits, lambda: False)
+            with trio.CancelScope() as self._incarnation:
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(server.run, self.address)
-                    nursery.start_soon(self._register, made, watch)
+                    nursery.start_soon(self._register, system, checker)
             self.link.refuse()
             await trio.sleep(self._down_s)
             self.state, self.is_leaving = 'ready', False
-            watch.out_s.pop(self.name, None)
-            watch.spoken.forget(self.name)
-            self.cold_until_s = trio.current_time() + made.sizes['cold_s']
+            checker.out_of_service_s.pop(self.name, None)
+            checker.announcements.forget(self.name)
+            self.cold_until_s = trio.current_time() + system.sizes['cold_s']
 
-    async def _register(self, made: fleet.Fleet, watch: checks.Watch) -> None:
+    async def _register(
+        self, system: fleet.Fleet, checker: checks.Checker
+    ) -> None:
         born_ms = int(time.time() * 1000)
 
-        def told() -> dict:
+        def status_report() -> dict:
             cold_s = max(0.0, self.cold_until_s - trio.current_time())
             return {
                 'hall': self.hall,
@@ -85,34 +87,38 @@
                 'cold_ms': cold_s * 1000,
             }
 
-        def heard(body: dict) -> None:
-            watch.heartbeat(self, body, trio.current_time())
+        def acknowledged(body: dict) -> None:
+            checker.record_heartbeat(self, body, trio.current_time())
 
-        at = links.listen_of(self.address)
+        at = links.link_address(self.address)
         names = (self.name, self.service, at, PLAIN_SLOTS)
-        await engineserver.register(made.post, *names, told, heard)
+        await engineserver.register(
+            system.post, *names, status_report, acknowledged
+        )
 
-    def _watched(
-        self, rng: random.Random, watch: checks.Watch
+    def _observed(
+        self, rng: random.Random, checker: checks.Checker
     ) -> httpserver.Handler:
-        """Return a handler that tells of all requests, and garbles some."""
+        """Return a handler that records requests and injects faults."""
 
         async def handle(request, responder) -> None:
             if not request.path.startswith(b'/v1/'):
                 request_id = request.header(NAMES.request_id) or b''
                 now_s = trio.current_time()
-                watch.arrive(request_id, self, now_s)
-                if request.path.startswith(KILLER):
-                    watch.crashed_s.append(now_s)
-                    self.end(KILLED_S)
+                checker.record_arrival(request_id, self, now_s)
+                if request.path.startswith(CRASHING_PATH):
+                    checker.crashes_s.append(now_s)
+                    self.end(CRASH_DOWN_S)
                     await trio.sleep_forever()
-                if self.rest_s:
-                    watch.speaks(request_id, self, now_s)
-                    await words.turn_away(responder, request_id, self.rest_s)
+                if self.backoff_s:
+                    checker.record_announcement(request_id, self, now_s)
+                    await words.request_backoff(
+                        responder, request_id, self.backoff_s
+                    )
                     return
                 if self.is_leaving:
-                    watch.speaks(request_id, self, now_s)
-                    responder = words.Telling(responder)
+                    checker.record_announcement(request_id, self, now_s)
+                    responder = words.LeavingResponder(responder)
                 if rng.random() < self.garbled:
                     await responder._stream.send_all(GARBLED)
                     return
@@ -121,31 +127,33 @@
         return handle
 
 
-class Built(typing.NamedTuple):
-    """All runners, and the group of engines among them."""
+class EmulatedRunners(typing.NamedTuple):
+    """All runners, and the group of engines that some of them form."""
 
     runners: list[Runner]
     group: engine.Group
     ranks: engineserver.Ranks
 
 
-def build(made: fleet.Fleet, watch: checks.Watch, rng: random.Random) -> Built:
-    """Return the runners of a run, none of which lives yet."""
-    sizes = made.sizes
+def build(
+    system: fleet.Fleet, checker: checks.Checker, rng: random.Random
+) -> EmulatedRunners:
+    """Return the runners of a run, not yet started."""
+    sizes = system.sizes
     group = engine.Group(engine.EngineSheet(ranks=sizes['ranks']), rng)
     group.shift_demand()
     ranks = engineserver.Ranks(group, rng)
-    watch.runs.append(ranks.runs)
+    checker.run_counts.append(ranks.runs)
     found: list[Runner] = []
 
     def add(name: str, service: str, host: int, *stand_in) -> None:
-        place = (made.hall_of(name), f'{made.host}{host}:{PORT}')
+        place = (system.hall_of(name), f'{system.host}{host}:{PORT}')
         found.append(Runner(name, service, *place, stand_in))
 
     for n in range(sizes['ranks']):
         add(f'i-{n}', 'llm', 100 + n, ranks.handler(n), ranks.faults[n])
     for n in range(sizes['plains']):
         plain = engineserver.Plain(n, PLAIN_WORK_S, rng)
-        watch.runs.append(plain.runs)
+        checker.run_counts.append(plain.runs)
         add(f'p-{n}', 'plain', 150 + n, plain.handle, plain.faults)
-    return Built(found, group, ranks)
+    return EmulatedRunners(found, group, ranks)
--- a/tools/soak/schedule.py
+++ b/tools/soak/schedule.py
@@ -1,21 +1,21 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""All that a seed decides: which faults and orders come, when, and where."""
+"""Faults and orders of a run, drawn from its seed."""
 
 import random
 import typing
 
 __all__ = ['Fault', 'Order', 'Plan', 'draw']
 
-#: A second disk emptied before the first is replaced is more than what the
-#: system is set up to bear, so a run has one.
+#: Drawn once per run: the system is not configured to sustain the loss of a
+#: second disk before the first has been replaced.
 ONCE = ('entry_wipe',)
-#: Planned stops of the calm time at the start, in seconds from it.
+#: Times of the planned stops in the phase at the start without faults.
 STOPS_S = (5.0, 5.5)
 
 
 class Fault(typing.NamedTuple):
-    """One fault: from when, for how long, and a number that picks where."""
+    """One fault; ``pick`` selects its target."""
 
     kind: str
     start_s: float
@@ -25,7 +25,7 @@
 
 
 class Order(typing.NamedTuple):
-    """One thing that operators do."""
+    """One action of an operator."""
 
     kind: str  # put, race, resend, old, hall
     start_s: float
@@ -33,7 +33,7 @@
 
 
 class Plan(typing.NamedTuple):
-    """A whole run."""
+    """The faults and orders of a run."""
 
     faults: list[Fault]
     orders: list[Order]
@@ -41,7 +41,7 @@
 
 
 def draw(seed: int, sizes: dict, span_s: float) -> Plan:
-    """Return the plan of ``seed`` for a run of ``span_s`` seconds."""
+    """Return the plan of a run of ``span_s`` seconds."""
     rng = random.Random(seed)
     last_s = span_s - sizes['recover_s'] - sizes['quiet_s']
     first_s = min(sizes['planned_s'], span_s / 4)
@@ -66,7 +66,7 @@
         kind = rng.choices(names, weights)[0]
         span_s = rng.uniform(*kinds[kind][1:])
         pick, strength = rng.randrange(1 << 30), rng.random()
-        # Drawn in any case, so that one fault less moves no other.
+        # Drawn even if dropped, so that all other faults stay the same.
         if kind not in ONCE or kind not in {f.kind for f in found}:
             span_s = min(span_s, last_s - at_s)
             found.append(Fault(kind, at_s, span_s, pick, strength))
--- a/tools/soak/schedules.py
+++ b/tools/soak/schedules.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Runs many random schedules of faults over the consensus core.
+"""Runs random fault schedules on the consensus core.
 
-``make soak-schedules SEED=1 COUNT=2000``; each seed gives the same schedule
-again.
+``make soak-schedules SEED=1 COUNT=2000``; a seed always gives the same
+schedule.
 """
 
 import pathlib
@@ -17,7 +17,7 @@
 
 
 def run(first: int, count: int) -> int:
-    """Run the schedules; 1 if one of them failed."""
+    """Run the schedules; return 1 if one of them failed."""
     import consensus_steps as steps
 
     failed = 0
--- a/tools/soak/words.py
+++ b/tools/soak/words.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a runner says of itself in its answers, and what it gets after that.
+"""Backoffs and leaving runners, as announced in the runners' answers.
 
-An entry that was told a rest, or that the runner leaves, and has run on since
-without harm, is held to it; each runner's own record of arrivals tells.
+An entry that received an announcement, and has had no fault since, must obey
+it; the arrivals at the runner show whether it does.
 """
 
 import math
@@ -11,58 +11,62 @@
 
 from mountridge.net import dialects, httpserver
 
-__all__ = ['Spoken', 'Telling', 'turn_away']
+__all__ = ['Announcements', 'LeavingResponder', 'request_backoff']
 
 NAMES = dialects.NATIVE.headers
-#: What was on its way when the word was given is not counted.
-UNDER_WAY_S = 0.5
-#: Requests within a rest that are allowed; more show that it is not heard.
-MOST_IN_REST = 2
+#: Requests that arrive so soon may have been sent before the announcement.
+IN_FLIGHT_S = 0.5
+#: Requests that are tolerated during a backoff.
+MAX_SENDS_IN_BACKOFF = 2
 
 
-class Spoken:
-    """The words that each runner has given to each entry."""
+class Announcements:
+    """Announcements of each runner to each entry."""
 
     def __init__(self) -> None:
-        self._rests: dict[tuple[str, str], tuple[float, float]] = {}
-        self._in_rest: dict[tuple[str, str], int] = {}
+        self._backoffs: dict[tuple[str, str], tuple[float, float]] = {}
+        self._sent_in_backoff: dict[tuple[str, str], int] = {}
         self._leaving_s: dict[tuple[str, str], float] = {}
 
-    def asks_rest(
+    def record_backoff(
         self, runner: str, entry: str, span_s: float, now_s: float
     ) -> None:
-        """Note that a runner asked an entry for rest."""
-        self._rests[runner, entry] = (now_s, now_s + span_s)
-        self._in_rest[runner, entry] = 0
+        """Record that a runner asked an entry for a backoff."""
+        self._backoffs[runner, entry] = (now_s, now_s + span_s)
+        self._sent_in_backoff[runner, entry] = 0
 
-    def leaves(self, runner: str, entry: str, now_s: float) -> None:
-        """Note that a runner told an entry that it leaves."""
+    def record_leaving(self, runner: str, entry: str, now_s: float) -> None:
+        """Record that a runner announced to an entry that it leaves."""
         self._leaving_s.setdefault((runner, entry), now_s)
 
     def forget(self, runner: str) -> None:
-        """Begin another life of a runner, which has said nothing."""
-        for held in (self._rests, self._in_rest, self._leaving_s):
-            for key in [key for key in held if key[0] == runner]:
-                del held[key]
+        """Discard the announcements of a runner's previous incarnation."""
+        for table in (self._backoffs, self._sent_in_backoff, self._leaving_s):
+            for key in [key for key in table if key[0] == runner]:
+                del table[key]
 
-    def in_rest(
+    def count_in_backoff(
         self, runner: str, entry: str, now_s: float
     ) -> tuple[int, float]:
-        """Count an arrival; return how many came in a rest, and since when."""
+        """Count an arrival.
+
+        Returns the number of arrivals during the backoff (0 outside of one),
+        and when it was requested, infinity if it was not.
+        """
         key = (runner, entry)
-        told_s, until_s = self._rests.get(key, (math.inf, math.inf))
-        if told_s + UNDER_WAY_S < now_s < until_s:
-            self._in_rest[key] += 1
-            return self._in_rest[key], told_s
-        return 0, told_s
-
-    def leaving_s(self, runner: str, entry: str) -> float:
-        """Return when an entry was told; infinity where it was not."""
+        requested_s, until_s = self._backoffs.get(key, (math.inf, math.inf))
+        if requested_s + IN_FLIGHT_S < now_s < until_s:
+            self._sent_in_backoff[key] += 1
+            return self._sent_in_backoff[key], requested_s
+        return 0, requested_s
+
+    def leaving_since_s(self, runner: str, entry: str) -> float:
+        """Return when it was announced; infinity if it was not."""
         return self._leaving_s.get((runner, entry), math.inf)
 
 
-class Telling:
-    """A responder whose answers tell that their runner leaves."""
+class LeavingResponder:
+    """A responder whose answers announce that the runner leaves."""
 
     def __init__(self, inner: typing.Any):
         self._inner = inner
@@ -78,17 +82,17 @@
         self, status: int, headers: dialects.Headers, body: bytes
     ) -> None:
         """Send a whole answer."""
-        told = [*headers, (NAMES.leaving, b'1')]
-        await self._inner.send_whole(status, told, body)
+        extended = [*headers, (NAMES.leaving, b'1')]
+        await self._inner.send_whole(status, extended, body)
 
 
-async def turn_away(
-    responder: httpserver.Responder, request_id: bytes, rest_s: float
+async def request_backoff(
+    responder: httpserver.Responder, request_id: bytes, backoff_s: float
 ) -> None:
-    """Refuse a request and ask for rest."""
-    told = [
+    """Refuse a request and ask for a backoff."""
+    headers = [
         (NAMES.request_id, request_id),
         (NAMES.not_run, b'1'),
-        (b'Retry-After', b'%g' % rest_s),
+        (b'Retry-After', b'%g' % backoff_s),
     ]
-    await httpserver.json_reply(responder, 503, {}, told)
+    await httpserver.json_reply(responder, 503, {}, headers)
