--- a/tools/soak/checks.py
+++ b/tools/soak/checks.py
@@ -11,7 +11,7 @@
 import re
 import typing
 
-from tools.soak import report, words
+from tools.soak import announcements, report
 
 __all__ = ['Answer', 'Checker', 'SentRequest']
 
@@ -76,7 +76,7 @@
         self.last_fault_s: dict[str, float] = {}
         #: When each entry was last signaled to stop.
         self.stop_requested_s: dict[str, float] = {}
-        self.announcements = words.Announcements()
+        self.announcements = announcements.Announcements()
         #: Times of crashes caused by the request that crashes runners.
         self.crashes_s: list[float] = []
         self.acked_version = self.sent_version = 0  # newest routes
@@ -228,7 +228,7 @@
             runner.name, request.entry, now_s
         )
         if announced_s < math.inf and self.had_no_faults(places, announced_s):
-            is_kept = count <= words.MAX_SENDS_IN_BACKOFF
+            is_kept = count <= announcements.MAX_SENDS_IN_BACKOFF
             self.check('rests are kept', is_kept, to=runner.name, count=count)
         announced_s = self.announcements.leaving_since_s(
             runner.name, request.entry
--- a/tools/soak/runners.py
+++ b/tools/soak/runners.py
@@ -10,7 +10,7 @@
 
 from mountridge.net import dialects, httpserver
 from standins import engine, engineserver
-from tools.soak import checks, fleet, links, words
+from tools.soak import announcements, checks, fleet, links
 
 __all__ = ['EmulatedRunners', 'Runner', 'build']
 
@@ -112,13 +112,13 @@
                     await trio.sleep_forever()
                 if self.backoff_s:
                     checker.record_announcement(request_id, self, now_s)
-                    await words.request_backoff(
+                    await announcements.request_backoff(
                         responder, request_id, self.backoff_s
                     )
                     return
                 if self.is_leaving:
                     checker.record_announcement(request_id, self, now_s)
-                    responder = words.LeavingResponder(responder)
+                    responder = announcements.LeavingResponder(responder)
                 if rng.random() < self.garbled:
                     await responder._stream.send_all(GARBLED)
                     return
