--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Takes out one mechanism at a time and shows which scenarios notice.
+"""Mutation tests: removes one mechanism at a time from a copy of the tree.
 
-``make mutants`` copies the tree, changes one place, and runs the features
-named. A mutant that lives means that a proof can't fail: it is a finding.
+``make mutants`` changes one place and runs the named feature, of which at
+least one scenario must fail. A mutant that survives shows a gap in the tests.
 """
 
 from concurrent import futures
@@ -20,30 +20,30 @@
 
 
 class Mutant(typing.NamedTuple):
-    """One mechanism taken out: ``old`` becomes ``new`` in a module."""
+    """One mechanism removed: ``old`` becomes ``new`` in a module."""
 
     name: str
     module: str
     old: str
     new: str
     feature: str
-    scenarios: str = ''  # only those whose name matches
+    scenarios: str = ''  # pattern of scenario names, all if empty
 
 
 MUTANTS = (
     Mutant(
-        'a second vote in a term', 'elections',
+        'no single vote per term', 'elections',
         "node.voted_for in ('', sender)", 'True', 'consensus',
     ),
     Mutant(
-        'votes while a leader is heard', 'elections',
+        'no refusal of votes during an active lease', 'elections',
         'if not message.leadership_transfer and not _no_active_lease('
         'node, now_s):',
         'if False:',
         'consensus',
     ),
     Mutant(
-        'a leader says that it does not lead', 'elections',
+        'no leader check before denying leadership', 'elections',
         """    if node.role == LEADER:
         return []
     effects: list[Effect] = [Send(sender, NotLeading""",
@@ -51,97 +51,97 @@
         'consensus',
     ),
     Mutant(
-        'an answer to an earlier start counts', 'elections',
+        'no start id check on answers about leadership', 'elections',
         'message.start_id != node.start_id\n        or sender not in',
         'sender not in', 'consensus',
     ),
     Mutant(
-        'a vote before the leader has said that it does not lead',
+        'no wait for possible leaders to deny leadership',
         'elections', 'and node.possible_leaders_known\n        and not '
         'node.possible_leaders\n', 'and node.possible_leaders_known\n',
         'consensus',
     ),
     Mutant(
-        'a vote where nothing tells who led', 'elections',
+        'no check that the possible leaders are known', 'elections',
         'node.possible_leaders_known = node.term == node.log.last_term',
         'node.possible_leaders_known = True', 'consensus',
     ),
     Mutant(
-        'who led is guessed behind a snapshot', 'elections',
+        'no fallback to all voters as possible leaders', 'elections',
         'return {leader_id} if leader_id else log.all_voters()',
         'return {leader_id} if leader_id else set()', 'consensus',
     ),
     Mutant(
-        'one that starts anew does not ask who leads', 'elections',
+        'no query to possible leaders after a restart', 'elections',
         'return [Send(voter, query) for voter in '
         'sorted(node.possible_leaders)]',
         'return []', 'consensus',
     ),
     Mutant(
-        'a box speaks for the identities of others', 'replicas',
+        'no check that a sender may reply for an identity', 'replicas',
         "message.to.partition('.')[0] == self.app.name", 'True', 'consensus',
         'replies for',
     ),
     Mutant(
-        'votes for a shorter log', 'elections',
+        'no log comparison on votes', 'elections',
         'return candidate_log >= (node.log.last_term, node.log.last_index)',
         'return True', 'consensus',
     ),
     Mutant(
-        'a vote at once after a restart', 'elections',
+        'no possible leaders after a restart', 'elections',
         'node.possible_leaders = _possible_leaders(node.log) - {node.node_id}',
         'node.possible_leaders = set()',
         'consensus',
     ),
     Mutant(
-        'commitment without a quorum', 'replication',
+        'no quorum on commitment', 'replication',
         'index = min(matches[node.quorum() - 1], node.log.last_index)',
         'index = min(matches[0], node.log.last_index)', 'consensus',
     ),
     Mutant(
-        'commitment of earlier terms', 'replication',
+        'no term check on commitment', 'replication',
         'if index <= node.commit_index or node.log.term_at(index) != '
         'node.term:',
         'if index <= node.commit_index:', 'consensus',
     ),
     Mutant(
-        'the leader counts what it has not synced', 'replication',
+        "no wait for the leader's own sync on commitment", 'replication',
         'node.synced_index\n            if voter == node.node_id',
         'node.log.last_index\n            if voter == node.node_id',
         'consensus',
     ),
     Mutant(
-        'a follower answers before its sync', 'replication',
+        "no wait for a follower's sync before its answer", 'replication',
         'return effects + [Send(sender, answer)]\n\n\ndef _match_log',
         'return effects + [Send(sender, answer, before_sync=True)]\n\n\n'
         'def _match_log',
         'consensus',
     ),
     Mutant(
-        'the lease goes on during a hand-over', 'replication',
+        'no end of the lease during a leadership transfer', 'replication',
         'if node.role != LEADER or node.transfer_target:',
         'if node.role != LEADER:', 'consensus', 'transfer',
     ),
     Mutant(
-        'the lease does not end', 'replication',
+        "no expiry of the leader's lease", 'replication',
         'return now_s < quorum_ack_time(node, now_s) + span_s', 'return True',
         'consensus',
     ),
     Mutant(
-        'reads that no quorum confirms', 'replication',
+        'no quorum confirmation of reads', 'replication',
         '        if requested_s <= confirmed_s\n', '', 'consensus',
     ),
     Mutant(
-        'check-quorum before the first answers', 'replication',
+        'no grace before the first answers in check-quorum', 'replication',
         'contact_s = max(node.leader_since_s, quorum_ack_time(node, now_s))',
         'contact_s = quorum_ack_time(node, now_s)', 'consensus',
     ),
     Mutant(
-        'a voter with no learner stage', 'replication',
+        'no learner stage before a voter is added', 'replication',
         'if behind > MAX_LEARNER_LAG:', 'if False:', 'consensus',
     ),
     Mutant(
-        'two voters changed at once', 'consensus',
+        'no limit of one voter per membership change', 'consensus',
         'if len(before ^ after) > 1:', 'if False:', 'consensus', 'refused',
     ),
     Mutant(
@@ -149,327 +149,327 @@
         'os.fdatasync(self._journal.fileno())', 'pass', 'storage',
     ),
     Mutant(
-        'no checksum', 'storage',
+        'no checksum on frames', 'storage',
         'return body if zlib.crc32(body) == checksum else None',
         'return body', 'storage',
     ),
     Mutant(
-        'damage cut like a torn tail', 'storage',
+        'no distinction between corruption and a torn tail', 'storage',
         'if _decode_frame_at(data, next_magic) is not None:', 'if False:',
         'storage',
     ),
     Mutant(
-        'writes after a failed one', 'storage',
+        'no refusal of writes after a failed write', 'storage',
         '        self._failed = True\n        return errors.',
         '        return errors.', 'storage',
     ),
     Mutant(
-        'half a frame left on a full disk', 'storage',
+        'no truncation of a partial frame on a full disk', 'storage',
         '            self._journal.truncate(self._valid_bytes)\n'
         '            self._journal.seek(self._valid_bytes)\n        except',
         '            pass\n        except', 'storage',
     ),
     Mutant(
-        'a full disk that is final', 'storage',
+        'no recovery from a full disk', 'storage',
         'if problem.errno in DISK_FULL_ERRNOS:', 'if False:', 'storage',
     ),
     Mutant(
-        'a full disk that ends the process', 'replicas',
+        'no handling of a full disk in the replica', 'replicas',
         'except errors.DiskFull as problem:\n                if not is_full:',
         'except errors.DiskFull as problem:\n                raise\n'
         '                if not is_full:', 'processes', 'full disk',
     ),
     Mutant(
-        'a file in place before its sync', 'storage',
+        'no sync of a file before it is renamed', 'storage',
         '            out.flush()\n            os.fsync(out.fileno())\n',
         '            out.flush()\n', 'storage',
     ),
     Mutant(
-        'tickets for an earlier incarnation', 'tickets',
+        'no incarnation check on tickets', 'tickets',
         'if ticket.incarnation != self.incarnation:', 'if False:',
         'rules',
     ),
     Mutant(
-        'a ticket accepted twice', 'tickets',
+        'no duplicate check on tickets', 'tickets',
         'if ticket.attempt_id in self._states:', 'if False:', 'requests',
         'Ticket',
     ),
     Mutant(
-        'a ticket of any age', 'tickets',
+        'no age limit on tickets', 'tickets',
         'if now_s - ticket.sent_s > MAX_AGE_S:', 'if False:', 'rules',
     ),
     Mutant(
-        'a revocation that bars nothing', 'tickets',
+        'no record of revoked tickets', 'tickets',
         '            self.end(attempt_id, state, now_s)\n        return state',
         '        return state', 'requests', 'Ticket|revo',
     ),
     Mutant(
-        'a claim granted to each asker', 'claims',
+        'no exclusive grant of a claim', 'claims',
         'return _reply(found, granted and not found.outcome)',
         'return _reply(found, True)', 'requests', 'At most once',
     ),
     Mutant(
-        'no claim at all', 'dispatching',
+        'no claim before sending', 'dispatching',
         'if exchange.key:\n            claimed',
         'if False:\n            claimed', 'requests', 'At most once',
     ),
     Mutant(
-        'claims forgotten while their keys are good', 'claims',
+        'no age limit on claim keys', 'claims',
         'if key_s < self.floor_s:', 'if False:', 'rules',
     ),
     Mutant(
-        'not run said of what is unknown', 'errors',
+        'no distinction of unknown outcomes from not run', 'errors',
         'status = 502\n    outcome = UNKNOWN',
         'status = 502\n    outcome = NOT_RUN', 'requests',
     ),
     Mutant(
-        'cut answers kept as whole', 'agent',
+        'no check that a stored answer is complete', 'agent',
         'ended_well = attempt.last is not None and not attempt.last.code',
         'ended_well = True', 'requests', 'not stored as',
     ),
     Mutant(
-        'answers too large kept as empty', 'statemachine',
+        'no distinction of answers too large to store', 'statemachine',
         "answer=b'', status=0)", "answer=b'')", 'requests', 'too large',
     ),
     Mutant(
-        'frames of any place', 'attempts',
+        'no position check on frames', 'attempts',
         'if self.ended or frame.position != self.position:',
         'if self.ended:', 'rules',
     ),
     Mutant(
-        'a cut passed off as an end', 'attempts',
+        'no error for a truncated response', 'attempts',
         '        if self.problem:\n            raise self.problem\n', '',
         'requests', 'Complete|not run',
     ),
     Mutant(
-        'losses that no one counts', 'links',
+        'no detection of lost frames', 'links',
         'frames = load.frames_seq > expected', 'frames = False',
         'requests', 'Complete',
     ),
     Mutant(
-        'lost tickets that no one counts', 'links',
+        'no detection of lost tickets', 'links',
         'if now_s - sent_s > TICKET_TIMEOUT_S', 'if False', 'requests',
         'Complete',
     ),
     Mutant(
-        'work of a vanished caller goes on', 'dispatching',
+        'no cancellation after the caller disconnects', 'dispatching',
         'if cancel and found:', 'if False:', 'operations', 'vanished',
     ),
     Mutant(
-        'puts with no base version', 'statemachine',
+        'no base version check on table updates', 'statemachine',
         'if command.base_version != machine.version:', 'if False:',
         'configuration', 'two puts',
     ),
     Mutant(
-        'puts with no operation id', 'statemachine',
+        'no operation id check on table updates', 'statemachine',
         '    if known is not None:\n        return known\n', '',
         'configuration',
     ),
     Mutant(
-        'views that go back', 'views',
+        'no index check on views', 'views',
         'if index < self.index:', 'if False:', 'rules',
     ),
     Mutant(
-        'grants of an earlier leader taken', 'leases',
+        'no fence check on lease grants', 'leases',
         'if grant.fence < self.fence:', 'if False:', 'rules',
     ),
     Mutant(
-        'a lease from the answer on', 'leases',
+        'no exact expiry of held leases', 'leases',
         'self.until_s = max(self.until_s, sent_s + grant.lease_s)',
         'self.until_s = max(self.until_s, sent_s + 2 * grant.lease_s)',
         'configuration',
     ),
     Mutant(
-        'in force without waiting for leases', 'leases',
+        'no wait for leases before changes are in force', 'leases',
         'if granted.until_s > now_s\n        ]\n        return min',
         'if False\n        ]\n        return min', 'configuration',
     ),
     Mutant(
-        'a new leader that does not wait', 'leases',
+        'no wait for leases of an earlier leader', 'leases',
         'if now_s < self.quiet_until_s:\n            return 0',
         'if False:\n            return 0', 'configuration',
     ),
     Mutant(
-        'gateways with no lease', 'filters',
+        'no lease check at gateways', 'filters',
         'if not lease.is_valid(now_s):', 'if False:', 'configuration',
     ),
     Mutant(
-        'agents with no lease', 'agent',
+        'no lease check at agents', 'agent',
         'if not self.held.is_valid(now_s):', 'if False:', 'operations',
         'receives nothing from controllers',
     ),
     Mutant(
-        'an agent that takes work while it leaves', 'agent',
+        'no refusal of work by a draining agent', 'agent',
         '        if self.draining:\n            raise errors.Draining()\n',
         '', 'operations', 'agent that drains|planned stop',
     ),
     Mutant(
-        'no wait for kept addresses', 'gateway',
+        'no wait for cached addresses on a planned stop', 'gateway',
         "await trio.sleep(self.settings['address_ttl_s'])", 'pass',
         'operations', 'planned stop of a gateway',
     ),
     Mutant(
-        'no slots kept for pings', 'queues',
+        'no slots reserved for pings', 'queues',
         'reserved = 0 if priority == 0 else self.reserved', 'reserved = 0',
         'rules',
     ),
     Mutant(
-        'no classes', 'queues',
+        'no priority classes', 'queues',
         'for priority in sorted(self._heaps):',
         'for priority in sorted(self._heaps, reverse=True):',
         'rules',
     ),
     Mutant(
-        'one queue for all teams', 'queues',
+        'no fair queueing between teams', 'queues',
         'self._finish_tags.get((priority, team), 0.0),', '0.0,',
         'operations', 'large team',
     ),
     Mutant(
-        'shares granted twice', 'limits',
+        'no deduction of granted shares', 'limits',
         'free = row.concurrency - sum(share.concurrency for share in used)',
         'free = row.concurrency', 'operations', 'sum over',
     ),
     Mutant(
-        'a new leader grants at once', 'limits',
+        'no wait before a new leader grants shares', 'limits',
         'if now_s < self._quiet_until_s:', 'if False:', 'rules',
     ),
     Mutant(
-        'shares of lapsed gateways are free', 'limits',
+        'no deduction of shares of lapsed gateways', 'limits',
         'free -= self._still_running(key, now_s)', 'pass', 'rules',
     ),
     Mutant(
-        'retries with no budget', 'retries',
+        'no retry budget', 'retries',
         'if any(self._balances.get(key, INITIAL_BALANCE) < 1 '
         'for key in keys):',
         'if False:', 'operations', 'Retries',
     ),
     Mutant(
-        'no ejection', 'runners',
+        'no ejection of slow runners', 'runners',
         'now_s < state.ejected_until_s or slowness > MAX_SLOWNESS', 'False',
         'rules',
     ),
     Mutant(
-        'no arm phase', 'gates',
+        'no arm phase at gates', 'gates',
         'if state.opened and step >= state.open_step:', 'if False:', 'maps',
         '',
     ),
     Mutant(
-        'older orders taken by a gate', 'gates',
+        'no fence check on orders at gates', 'gates',
         'if fence < self.fence:', 'if False:', 'maps',
     ),
     Mutant(
-        'arming too late', 'gates',
+        'no refusal to arm for a step already entered', 'gates',
         'if self.entered >= state.open_step:', 'if False:', 'maps',
     ),
     Mutant(
-        'only the newest map known', 'gates',
+        'no map history at gates', 'gates',
         'versions = [v for first, v in state.history if first <= step]',
         'versions = [state.history[-1][1]]', 'maps',
     ),
     Mutant(
-        'moves at any cost', 'maps',
+        'no move cost in map planning', 'maps',
         'if best is None or best[0] * weights.skew * HORIZON_S <= cost:',
         'if best is None:', 'maps', 'A plan',
     ),
     Mutant(
-        'entry: go before all are armed', 'mapchanges',
+        'entry: no wait until all ranks are armed', 'mapchanges',
         'return Phase.ARMING if self._unarmed else Phase.STARTING',
         'return Phase.STARTING', 'entry', 'One map',
     ),
     Mutant(
-        'entry: arm with no pass held', 'mapchanges',
+        'entry: no wait for the held pass before arming', 'mapchanges',
         'if not self._holding and self._unarmed:',
         'if self.change.step == ranks.NO_VERSION:', 'entry', 'One map',
     ),
     Mutant(
-        'entry: hold before all have prepared', 'mapchanges',
+        'entry: no wait until all ranks have prepared', 'mapchanges',
         'if self.change.step == ranks.NO_VERSION and self._unprepared:',
         'if self.change.step == ranks.NO_VERSION and HOLD_RANK in '
         'self._unprepared:', 'entry', 'One map',
     ),
     Mutant(
-        'entry: a held pass is not taken up', 'mapchanges',
+        'entry: no takeover of a change with a held pass', 'mapchanges',
         'if not held:', 'if True:', 'entry', 'One map',
     ),
     Mutant(
-        'maps: orders wait for reports', 'groups',
+        'maps: no push of orders', 'groups',
         'self.app.send(contact.route, pushed)', 'pass', 'entry',
         'as soon as',
     ),
     Mutant(
-        'entry: the seeds are told nothing', 'formation',
+        'entry: no messages to seed addresses', 'formation',
         'for address in self.leader.seeds:', 'for address in ():', 'entry',
         'loss of power',
     ),
     Mutant(
-        'entry: answers only to known addresses', 'replicas',
+        'entry: no replies to addresses learned from messages', 'replicas',
         'address = address or self._reply_addresses.get(effect.to)', '',
         'entry', 'lost disk',
     ),
     Mutant(
-        'entry: a lower version of routes', 'statemachine',
+        'entry: no version check on routes', 'statemachine',
         'if command.version > machine.routes_version:', 'if True:', 'entry',
         'highest version',
     ),
     Mutant(
-        'entry: late heartbeats count', 'lives',
+        'entry: no sequence check on heartbeats', 'lives',
         'if received.seq < known.seq:', 'if False:',
         'entry', 'heartbeat that comes late',
     ),
     Mutant(
-        'entry: left runners come back', 'lives',
+        'entry: no refusal of runners that have left', 'lives',
         'if has_ended(known) and not known.may_return:\n'
         '        return Refusal',
         'if False:\n        return Refusal', 'entry', 'runner that left',
     ),
     Mutant(
-        'entry: the whole slack for each gateway', 'budgets',
+        'entry: no division of the retry slack among gateways', 'budgets',
         'slack = self._slack / max(1, gateways)', 'slack = self._slack',
         'entry', 'budget',
     ),
     Mutant(
-        'entry: hung connections are waited for', 'sockets',
+        'entry: no timeout for opening connections', 'sockets',
         'socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_MS)', '', 'entry',
         'opening packet',
     ),
     Mutant(
-        'entry: silence lasts though one is heard', 'members',
+        'entry: no end of unresponsiveness on a message', 'members',
         '                self._unresponsive_until_s.pop(address, None)',
         '                pass', 'entry',
         'heard of again',
     ),
     Mutant(
-        'placing: others send nothing', 'backends',
+        'placing: no estimate of requests sent by other gateways', 'backends',
         'return own_per_s * unreported_s * max(0, gateways - 1)',
         'return 0.0', 'placement',
     ),
     Mutant(
-        'placing: no part of its own', 'backends',
+        'placing: no preferred subset', 'backends',
         'if self.report_interval_s <= FREQUENT_REPORT_S:', 'if True:',
         'placement', 'infrequent',
     ),
     Mutant(
-        'placing: parts of all halls', 'backends',
+        'placing: no restriction of preferred subsets to a hall', 'backends',
         'if backend.instance.hall == hall', 'if True', 'placement',
         'Preferred subsets',
     ),
     Mutant(
-        'maps: a map is sent whole each time', 'groups',
+        'maps: no delta encoding of maps', 'groups',
         'base = known if known in group.maps else ranks.NO_VERSION',
         'base = ranks.NO_VERSION', 'manyranks', '',
     ),
     Mutant(
-        'maps: all ranks tell choices', 'rankgroups',
+        'maps: no limit on the ranks that count choices', 'rankgroups',
         'return rank % math.ceil(max(1, self.size) / MOST_COUNTING) == 0',
         'return True', 'manyranks',
     ),
     Mutant(
-        'maps: each report looks at all ranks', 'rankgroups',
+        'maps: no caching of the completeness of a group', 'rankgroups',
         'if now_s < self._complete_until_s:', 'if False:', 'manyranks',
         'checks all of them only',
     ),
     Mutant(
-        'maps: shifts during a search forgotten', 'mapplanning',
+        'maps: no replanning after a shift during a search', 'mapplanning',
         'if group.epoch != state.epoch or has_step or group.has_held_pass:',
         'group.outdated = False\n'
         '        if group.epoch != state.epoch or has_step or '
@@ -477,69 +477,69 @@
         'manyranks', 'shift of demand during',
     ),
     Mutant(
-        'maps: no rest after a search in vain', 'mapplanning',
+        'maps: no backoff after a search without a plan', 'mapplanning',
         'group.next_plan_s = self.app.now_s() + FUTILE_S', 'pass',
         'manyranks', 'Searches that find no',
     ),
     Mutant(
-        'maps: a cut map is taken', 'mapdeltas',
+        'maps: no check for truncated maps', 'mapdeltas',
         'if len(data) != size or not stream.eof:', 'if False:', 'manyranks',
         'refused',
     ),
     Mutant(
-        'maps: least gain of a copy whatever the ranks', 'mapplans',
+        'maps: no minimum copy gain per number of ranks', 'mapplans',
         'MIN_COPY_GAIN / len(slowdowns),', 'MIN_COPY_GAIN / 12,', 'mapplans',
         'is balanced',
     ),
     Mutant(
-        'placing: slow runners like others', 'backends',
+        'placing: no avoidance of slow runners', 'backends',
         '[b for b in healthy if b.slowdown < AVOID_SLOWDOWN] or healthy',
         'healthy',
         'mapplans', 'slow runner',
     ),
     Mutant(
-        'maps: slow ranks keep their experts', 'mapplans',
+        'maps: no relief of slow ranks', 'mapplans',
         '_relieve(by_rank, set_load, slow, parameters, total_copies)',
         'by_rank', 'mapplans',
     ),
     Mutant(
-        'maps: a slow rank relieved by some, not by all alike', 'mapplans',
+        'maps: no even distribution of relief over ranks', 'mapplans',
         'if total_copies[r] == fewest]', ']', 'mapplans',
     ),
     Mutant(
-        'maps: copies bounded by set alone', 'mapplans',
+        'maps: no limit on copies by copy time', 'mapplans',
         'if self.copy_s <= 0:', 'if True:', 'mapplans',
     ),
     Mutant(
-        'demand: shifts not told', 'demand',
+        'demand: no detection of shifts', 'demand',
         '        if distance > max(\n            MIN_SHIFT_DISTANCE, '
         'SHIFT_RATIO * self._usual_distance\n        ):',
         '        if False:', 'demand',
     ),
     Mutant(
-        'demand: counts of before a shift kept', 'demand',
+        'demand: no reset of counts after a shift', 'demand',
         'if self.is_shifting or not self.mean:',
         'if not self.mean:', 'demand',
     ),
     Mutant(
-        'demand: forgotten with the epoch', 'rankgroups',
+        'demand: no retention across epochs', 'rankgroups',
         '        self.progress = None\n        self._passes.clear()',
         '        self.progress = None\n        self._passes.clear()\n'
         '        self.demand = demand.Demand()', 'demand',
     ),
     Mutant(
-        'maps: a change gives way after a hold', 'rankgroups',
+        'maps: no protection of a change with a chosen pass', 'rankgroups',
         'return self.outdated and not has_step and',
         'return self.outdated and',
         'demand',
     ),
     Mutant(
-        'last hop: abandoned requests left to be read', 'lasthop',
+        'last hop: no reset of abandoned connections', 'lasthop',
         'connection.reset_on_close()', 'pass', 'forwarding',
         'A caller that disconnects',
     ),
     Mutant(
-        'routes: tries that met another runner count', 'forwarding',
+        'routes: no exemption of misdirected attempts', 'forwarding',
         'exchange.misdirected_attempts += 1', 'pass', 'forwarding',
         'do not use up',
     ),
@@ -549,31 +549,32 @@
         'while False:', 'forwarding', 'before any runner',
     ),
     Mutant(
-        'maps: experts of a plan told anew', 'mapplans',
+        'maps: no comparison of a plan with the current map', 'mapplans',
         '        weights,\n        placement,\n', '        weights,\n',
         'mapplans',
     ),
     Mutant(
-        'maps: the held box holds', 'groups',
+        'maps: no hold order through another box', 'groups',
         'if not self.send_remote_order(remote):', 'if True:', 'entry',
         'Whoever is lost',
     ),
     Mutant(
-        'maps: nobody stands in for a sidecar', 'groups',
+        'maps: no substitute for an unresponsive sidecar', 'groups',
         'if rank in group.unresponsive:',
         'if False:', 'entry', 'Whoever is lost',
     ),
     Mutant(
-        'maps: a late report of an old epoch is a contact', 'groups',
+        'maps: no epoch check on delayed reports', 'groups',
         'if state.epoch == group.epoch:', 'if True:', 'manyranks',
     ),
     Mutant(
-        'forwarding: streams stay at a slow runner', 'forwarding',
+        'forwarding: no migration of streams from a slow runner', 'forwarding',
         'if backend.slowdown < backends.MIGRATE_SLOWDOWN:', 'if True:',
         'forwarding', 'becomes',
     ),
     Mutant(
-        'forwarding: streams leave at any pace', 'forwarding',
+        'forwarding: no slowdown threshold for migrating streams',
+        'forwarding',
         'if backend.slowdown < backends.MIGRATE_SLOWDOWN:', 'if False:',
         'forwarding', 'becomes',
     ),
@@ -583,584 +584,587 @@
         'with trio.move_on_after(0):', 'forwarding', 'has no routes',
     ),
     Mutant(
-        'picking: a closed group is not waited for', 'picking',
+        'picking: no wait for a closed group', 'picking',
         'and closed_for_s < groupstates.MAX_CLOSED_WAIT_S', 'and False',
         'forwarding', 'closed',
     ),
     Mutant(
-        'picking: a group without hope is waited for', 'picking',
+        'picking: no limit on the wait for a closed group', 'picking',
         'and closed_for_s < groupstates.MAX_CLOSED_WAIT_S', '', 'forwarding',
         'closed',
     ),
     Mutant(
-        'picking: all requests find out about a view', 'picking',
+        'picking: no wait for another request that probes', 'picking',
         'return self.has_ranks(service) and self.known.is_probing(service)',
         'return False', 'closedgroups',
     ),
     Mutant(
-        'closures: a refusal closes one rank alone', 'backends',
+        'closures: no closing of all ranks of a group', 'backends',
         'if other.group == backend.group', 'if other is backend',
         'closedgroups',
     ),
     Mutant(
-        'closures: a full rank closes its group', 'backends',
+        'closures: no distinction of a full rank', 'backends',
         'if is_full and not backend.replaced:', 'if False:', 'closedgroups',
     ),
     Mutant(
-        'closures: who was refused tries again blindly', 'groupstates',
+        'closures: no wait of a refused request', 'groupstates',
         'return was_refused or now_s - self._refused_s < REFUSAL_VALID_S',
         'return now_s - self._refused_s < REFUSAL_VALID_S', 'closedgroups',
     ),
     Mutant(
-        'forwarding: no 421 is understood', 'forwarding',
+        'forwarding: no handling of status 421', 'forwarding',
         'if head.status == MISDIRECTED:', 'if False:', 'forwarding',
     ),
     Mutant(
-        'rests: none is heard', 'forwarding',
+        'backoffs: no handling of Retry-After', 'forwarding',
         'if head.rest_s is not None:', 'if False:', 'rests',
     ),
     Mutant(
-        'rests: no word of leaving is heard', 'forwarding',
+        'backoffs: no handling of leaving runners', 'forwarding',
         'if head.is_leaving and self.known.backoffs.mark_leaving(runner):',
         'if False:', 'rests',
     ),
     Mutant(
-        'rests: a word is of the id, not of the life', 'backoffs',
+        'backoffs: no separation by incarnation', 'backoffs',
         'return runner.instance_id, runner.lives, runner.born_ms',
         'return runner.instance_id, 0, 0', 'rests',
     ),
     Mutant(
-        'rests: what was placed before is sent all the same', 'forwarding',
+        'backoffs: no check between selection and send', 'forwarding',
         'if not self.known.backoffs.may_send(backend.instance, now_s):',
         'if False:', 'rests',
     ),
     Mutant(
-        'rests: what was not sent uses up a try', 'forwarding',
+        'backoffs: no exemption of unsent attempts', 'forwarding',
         'exchange.unsent_attempts += is_unsent', 'pass', 'rests',
     ),
     Mutant(
-        'rests: all come at once when one is over', 'backoffstates',
+        'backoffs: no single probe after the end', 'backoffstates',
         'return self.may_send(now_s) and not self.is_probing',
         'return self.may_send(now_s)', 'rests',
     ),
     Mutant(
-        'rests: a runner that takes requests again stays in doubt',
+        'backoffs: no confirmation when a runner accepts requests',
         'backends',
         'if self.backoffs.record_accepted(backend.instance, now_s):',
         'if False:', 'rests',
     ),
     Mutant(
-        'rests: one closes its group', 'forwarding',
+        'backoffs: no exemption from closing the group', 'forwarding',
         'self.picker.has_ranks(exchange.service) and not is_backoff',
         'self.picker.has_ranks(exchange.service)', 'rests',
     ),
     Mutant(
-        'rests: second tries go to idle runners too', 'backends',
+        'backoffs: no preference of busy runners for retries', 'backends',
         'fit = [b for b in fit if self._is_working(b)] or fit', 'pass',
         'rests',
     ),
     Mutant(
-        'rests: the end of one is not waited for', 'picking',
+        'backoffs: no wait for the end', 'picking',
         'if end_s is not None and end_s <= until_s:', 'if False:', 'rests',
     ),
     Mutant(
-        'rests: hopeless requests wait', 'picking',
+        'backoffs: no refusal of requests that cannot wait', 'picking',
         'if end_s is not None and end_s <= until_s:',
         'if end_s is not None:', 'rests',
     ),
     Mutant(
-        'rests: an agent hears none', 'agent',
+        'backoffs: no handling of Retry-After at agents', 'agent',
         'if head.rest_s is not None:', 'if False:', 'rests', 'agent',
     ),
     Mutant(
-        'rests: an agent takes tickets in one', 'agent',
+        'backoffs: no refusal of tickets at agents', 'agent',
         'if not self.backoff_state.may_send(now_s):', 'if False:', 'rests',
         'agent',
     ),
     Mutant(
-        'rests: what waits at an agent waits on', 'agent',
+        'backoffs: no removal of queued requests at agents', 'agent',
         'for item in self.queue.pop_expired(math.inf):',
         'for item in self.queue.pop_expired(now_s):', 'rests', 'agent',
     ),
     Mutant(
-        'rests: an agent hears no word of leaving', 'agent',
+        'backoffs: no handling of leaving runners at agents', 'agent',
         'elif head.is_leaving:', 'elif False:', 'rests', 'agent',
     ),
     Mutant(
-        'rests: a refusal is an answer to the caller', 'agent',
+        'backoffs: no error for refused requests at agents', 'agent',
         """        if head.not_run:
             raise errors.RunnerRefused""",
         """        if False:
             raise errors.RunnerRefused""", 'rests', 'agent',
     ),
     Mutant(
-        'clocks: time that was slept does not count', 'clocks',
+        'clocks: no correction for suspension', 'clocks',
         'now_s = self._real()', 'now_s = self._steady()', 'suspension',
     ),
     Mutant(
-        'clocks: each look tells the same gap', 'clocks',
+        'clocks: no adjustment after a reported gap', 'clocks',
         'self._ahead_s += gap_s', 'pass', 'suspension',
     ),
     Mutant(
-        'clocks: a late reading sets them apart', 'clocks',
+        'clocks: no exclusion of negative gaps', 'clocks',
         'if gap_s > GAP_S:', 'if abs(gap_s) > GAP_S:', 'suspension',
     ),
     Mutant(
-        'clocks: requests past their time go on', 'forwarding',
+        'clocks: no cancellation of overdue requests', 'forwarding',
         'if until_s <= now_s:', 'if False:', 'suspension',
     ),
     Mutant(
-        'clocks: what woke late is sent', 'forwarding',
+        'clocks: no deadline check before sending', 'forwarding',
         'if now_s >= until_s:', 'if False:', 'suspension',
     ),
     Mutant(
-        'quarantine: nothing is held back', 'routefilters',
+        'quarantine: no refusal of quarantined requests', 'routefilters',
         'if known.is_quarantined(digest, now_s):', 'if False:', 'quarantine',
     ),
     Mutant(
-        'quarantine: no crash is counted', 'crashwatch',
+        'quarantine: no count of crashes', 'crashwatch',
         'self._quarantine.record_crash(digest, runner, now_s)', 'pass',
         'quarantine',
     ),
     Mutant(
-        'quarantine: each broken connection is a crash', 'crashwatch',
+        'quarantine: no check that a runner has crashed', 'crashwatch',
         'if not await pool.refuses_connections(runner.address):', 'if False:',
         'quarantine',
     ),
     Mutant(
-        'quarantine: a suspect does not wait for the leader', 'crashwatch',
+        'quarantine: no wait of a suspect for the leader', 'crashwatch',
         'await self.on_crash()', 'self.on_crash().close()', 'quarantine',
     ),
     Mutant(
-        'quarantine: the own count does not hold', 'quarantine',
+        'quarantine: no local crash count', 'quarantine',
         'return len(recent) >= quarantines.CRASH_THRESHOLD', 'return False',
         'quarantine',
     ),
     Mutant(
-        'quarantine: a crash that is told again counts again', 'quarantines',
+        'quarantine: no duplicate check on crash reports', 'quarantines',
         'return self.instance_id, self.lives, self.born_ms',
         'return self.instance_id, self.lives, self.age_s', 'quarantine',
     ),
     Mutant(
-        'quarantine: streams that have run on are suspects', 'crashwatch',
+        'quarantine: no exemption of streams with progress', 'crashwatch',
         'exchange.is_suspect = exchange.events_sent == exchange.events_before',
         'exchange.is_suspect = True', 'quarantine',
     ),
     Mutant(
-        'rests: one rest is remembered for ever', 'backoffs',
+        'backoffs: no removal of expired entries', 'backoffs',
         'now_s < state.until_s + UNCONFIRMED_S', 'True', 'rests',
     ),
     Mutant(
-        'quarantine: suspects are told for as long as they count',
+        'quarantine: no end of reports on suspects',
         'quarantine', 'if now_s - at_s < REPORT_FOR_S', 'if True',
         'quarantine',
     ),
     Mutant(
-        'quarantine: a good end is not told', 'entry',
+        'quarantine: no immediate report of success', 'entry',
         'self.forwarder.crashes.on_success = self.crash_reporter.wake', 'pass',
         'quarantine',
     ),
     Mutant(
-        'quarantine: what ended well stays on trial', 'quarantineoffice',
+        'quarantine: no end of probing after success', 'quarantineoffice',
         'elif known is not None and (seen or not known.is_held):',
         'elif known is not None and seen:', 'quarantine',
     ),
     Mutant(
-        'quarantine: a trial that crashes takes two', 'quarantineoffice',
+        'quarantine: no lower crash threshold while probing',
+        'quarantineoffice',
         'most = 1 if is_trial else quarantines.CRASH_THRESHOLD',
         'most = quarantines.CRASH_THRESHOLD', 'quarantine',
     ),
     Mutant(
-        'quarantine: nothing is ever tried again', 'quarantineoffice',
+        'quarantine: no probing', 'quarantineoffice',
         'if now_s - since_s >= span_s:', 'if False:', 'quarantine',
     ),
     Mutant(
-        'quarantine: a good end elsewhere clears nothing', 'quarantine',
+        'quarantine: no report of success', 'quarantine',
         'self._unreported[digest] = self._success_at_s[digest]', 'pass',
         'quarantine',
     ),
     Mutant(
-        'quarantine: the caller is not part of a request', 'quarantines',
+        'quarantine: no caller in the digest of a request', 'quarantines',
         'for part in (method, target, caller):',
         'for part in (method, target):', 'quarantine',
     ),
     Mutant(
-        'quarantine: what is held is lost with a snapshot', 'statemachine',
+        'quarantine: no state in snapshots', 'statemachine',
         'self.quarantine = {each.digest: each for each in listed}', 'pass',
         'quarantine',
     ),
     Mutant(
-        'quarantine: the view of it is not followed', 'entry',
+        'quarantine: no update of the view', 'entry',
         '        self._follow_quarantine()\n', '', 'quarantine',
     ),
     Mutant(
-        'last hop: how long connections are kept is not heard', 'lasthop',
+        'last hop: no keep-alive timeout from the server', 'lasthop',
         'if announced_s is not None:', 'if False:',
         'lives', 'idle connections',
     ),
     Mutant(
-        'forwarding: what ran is called not run', 'forwarding',
+        'forwarding: no check whether a failed request may have run',
+        'forwarding',
         'if exchange.may_have_run and problem.outcome == errors.NOT_RUN:',
         'if False:', 'forwarding',
     ),
     Mutant(
-        'lives: an older start is a new life', 'lives',
+        'incarnations: no order check for an older start', 'lives',
         'is_newer = received.born_ms > known.born_ms',
         'is_newer = True', 'lives',
     ),
     Mutant(
-        'lives: a newer start is an old life', 'lives',
+        'incarnations: no order check for a newer start', 'lives',
         'is_newer = received.born_ms > known.born_ms',
         'is_newer = False', 'lives',
     ),
     Mutant(
-        'lives: late counts count', 'lives',
+        'incarnations: no sequence check on heartbeats', 'lives',
         'if received.seq < known.seq:',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: the log forgets counts', 'registry',
+        'incarnations: no sequence number in the log', 'registry',
         'given = heartbeat.instance._replace(seq=heartbeat.seq)',
         'given = heartbeat.instance', 'lives',
     ),
     Mutant(
-        'lives: one life moves', 'lives',
+        'incarnations: no refusal of moves', 'lives',
         'if place != (known.service, known.address, known.hall):',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: no start goes before a told one', 'lives',
+        'incarnations: no refusal of a missing start time', 'lives',
         'return Order.BACK if known.may_return else Refusal.NO_START',
         'return Order.BACK', 'lives',
     ),
     Mutant(
-        'lives: a start from before the leave', 'lives',
+        'incarnations: no check that a start is after a leave', 'lives',
         'if not has_ended(known) or received.born_ms > known.since_ms:',
         'if True:', 'lives',
     ),
     Mutant(
-        'lives: an earlier start takes an address', 'lives',
+        'incarnations: no start order for a shared address', 'lives',
         'return other.born_ms < received.born_ms',
         'return True', 'lives',
     ),
     Mutant(
-        'lives: a later runner that left is forgotten', 'lives',
+        'incarnations: no start order against ended holders', 'lives',
         'if other.born_ms and received.born_ms:',
         'if other.born_ms and received.born_ms and not has_ended(other):',
         'lives',
     ),
     Mutant(
-        'lives: who is back takes its address', 'lives',
+        'incarnations: no protection of an address on a return', 'lives',
         'return order is Order.NEWER and not other.born_ms',
         'return not other.born_ms', 'lives',
     ),
     Mutant(
-        'lives: no start takes an address', 'lives',
+        'incarnations: no protection of an address by start time', 'lives',
         'return order is Order.NEWER and not other.born_ms',
         'return order is Order.NEWER', 'lives',
     ),
     Mutant(
-        'lives: a leave of a former life ends the new one', 'lives',
+        'incarnations: no start time check on leaves', 'lives',
         'return Refusal.OLDER_LIFE if born_ms < known.born_ms else None',
         'return None', 'lives',
     ),
     Mutant(
-        'lives: a leave from an old view ends the new life', 'lives',
+        'incarnations: no view check on leaves', 'lives',
         'if lives and lives < known.lives:',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: a leave right after a restart ends it', 'lives',
+        'incarnations: no refusal of leaves after a restart', 'lives',
         'if is_fresh and known.state == instances.READY:',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: who drains can not leave', 'lives',
+        'incarnations: no early leave while draining', 'lives',
         'if is_fresh and known.state == instances.READY:',
         'if is_fresh:', 'lives',
     ),
     Mutant(
-        'lives: a first life can not leave', 'lives',
+        'incarnations: no early leave of a first incarnation', 'lives',
         'is_fresh = known.lives > 1 and',
         'is_fresh =', 'lives',
     ),
     Mutant(
-        'lives: silence is for good', 'registry',
+        'incarnations: no return after a timeout', 'registry',
         'state=instances.LEFT, seq=0, may_return=True',
         'state=instances.LEFT, seq=0', 'lives',
     ),
     Mutant(
-        'lives: counts outlive silence', 'registry',
+        'incarnations: no sequence reset on a timeout', 'registry',
         'state=instances.LEFT, seq=0, may_return=True',
         'state=instances.LEFT, may_return=True', 'lives',
     ),
     Mutant(
-        'lives: replaced is for good', 'statemachine',
+        'incarnations: no return after replacement', 'statemachine',
         'state=instances.LEFT, since_ms=now_ms, may_return=True',
         'state=instances.LEFT, since_ms=now_ms', 'lives',
     ),
     Mutant(
-        'lives: a second leave is lost', 'statemachine',
+        'incarnations: no further leave by a later start', 'statemachine',
         'if is_final and proposed.born_ms <= known.born_ms:',
         'if is_final:', 'lives',
     ),
     Mutant(
-        'lives: the log takes old words', 'statemachine',
+        'incarnations: no order check in the state machine', 'statemachine',
         'if isinstance(order, lives.Refusal):',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: the log takes old leaves', 'statemachine',
+        'incarnations: no incarnation check on applied leaves', 'statemachine',
         'if proposed.lives not in (0, known.lives):',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: a leave made on nothing held ends a later start',
+        'incarnations: no start time check on applied leaves',
         'statemachine',
         'if proposed.born_ms and proposed.born_ms < known.born_ms:',
         'if False:', 'lives', 'before any registration',
     ),
     Mutant(
-        'warmup: a part goes with a runner to another hall', 'warmup',
+        'warmup: no hall in the ownership key', 'warmup',
         'return runner.instance_id, runner.service, runner.hall',
         "return runner.instance_id, '', ''", 'warmup', 'another hall',
     ),
     Mutant(
-        'warmup: a first owner in a hall without gateways', 'warmup',
+        'warmup: no check for halls without gateways', 'warmup',
         '    if not local:\n', '    if False:\n', 'warmup',
         'without gateways',
     ),
     Mutant(
-        'lives: a start in the future', 'registry',
+        'incarnations: no limit on start times in the future', 'registry',
         'if given.born_ms > (self.app.wall_s() + FUTURE_S) * 1000:',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: any service is registered', 'registry',
+        'incarnations: no check of the service', 'registry',
         'if not is_held and not self.names_service(given.service):',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: who is named no more can not drain', 'registry',
+        'incarnations: no draining for services no longer named', 'registry',
         'if not is_held and not self.names_service(given.service):',
         'if not self.names_service(given.service):', 'lives',
     ),
     Mutant(
-        'lives: any hall is registered', 'registry',
+        'incarnations: no check of the hall', 'registry',
         'if halls and given.hall not in halls:',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: a gateway keeps a former life', 'backends',
+        'incarnations: no replacement at gateways', 'backends',
         'if backend is None or not backend.is_same_incarnation(instance):',
         'if backend is None:', 'lives',
     ),
     Mutant(
-        'lives: late answers close a new life', 'backends',
+        'incarnations: no incarnation check on delayed answers', 'backends',
         'return self.by_id.get(backend.instance.instance_id) is backend',
         'return True', 'lives',
     ),
     Mutant(
-        'lives: connections to a former life are kept', 'backends',
+        'incarnations: no eviction of connections of ended runners',
+        'backends',
         'return sorted((before - after) | (before & ended))',
         'return sorted(before - after)', 'lives',
     ),
     Mutant(
-        'lives: connections in use are kept', 'lasthop',
+        'incarnations: no eviction of connections in use', 'lasthop',
         'is_current = connection.opened_s > evicted_s',
         'is_current = True', 'lives',
     ),
     Mutant(
-        'lives: nested bodies end the connection', 'instances',
+        'incarnations: no handling of deeply nested bodies', 'instances',
         'except RecursionError:',
         'except ZeroDivisionError:', 'lives',
     ),
     Mutant(
-        'lives: unknown fields are no UTF-8', 'instances',
+        'incarnations: no UTF-8 check on bodies', 'instances',
         'body.decode()\n        return',
         'return', 'lives',
     ),
     Mutant(
-        'lives: any address', 'instances',
+        'incarnations: no check of addresses', 'instances',
         'if not (_is_ip(host) and _is_port(port)):',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: any number', 'instances',
+        'incarnations: no range check on numbers', 'instances',
         'if not 0 <= value <= limit:',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: any state', 'instances',
+        'incarnations: no check of states', 'instances',
         'if instance.state not in (READY, DRAINING):',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: any number of an engine', 'ranks',
+        'incarnations: no range check on engine parameters', 'ranks',
         'if values and not (low <= min(values) and max(values) <= high):',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: counts anew are choices', 'sidecar',
+        'incarnations: no check for counters that were reset', 'sidecar',
         'if min(fresh, default=0) < 0:',
         'if False:', 'lives',
     ),
     Mutant(
-        'lives: reports of a former life', 'groups',
+        'incarnations: no start time check on rank reports', 'groups',
         'if 0 < state.born_ms < self.registered_start_ms(report.instance_id):',
         'if False:', 'lives',
     ),
     Mutant(
-        'losses: a late call looks for nobody', 'members',
+        'losses: no search for the leader after a delayed call', 'members',
         'self._app.start_task(self._search, called)', 'pass', 'losses',
         'asked at once',
     ),
     Mutant(
-        'losses: calls wait on at a lost leader', 'members',
+        'losses: no cancellation of calls to a lost leader', 'members',
         '            if called != address:\n', '            if False:\n',
         'losses', 'Calls that wait',
     ),
     Mutant(
-        'losses: a search leaves its connections open', 'members',
+        'losses: no closing of connections after a search', 'members',
         'used = {self._current, *self._pending.values()}',
         'used = set(self._callers)', 'losses', 'opened is closed',
     ),
     Mutant(
-        'losses: names are followed again and again', 'members',
+        'losses: no record of attempted addresses', 'members',
         '            and named not in attempted\n', '', 'losses',
         'out of date',
     ),
     Mutant(
-        'losses: a lost leader is named to who looks for another',
+        'losses: no exclusion of the lost leader',
         'leadership', 'if named and named != question.excluded:', 'if named:',
         'losses', 'A controller tells',
     ),
     Mutant(
-        'losses: an answer is not held', 'leadership',
+        'losses: no delayed reply until a leader is known', 'leadership',
         'await self.replica.wait_for_step()', 'break', 'losses',
         'A controller tells',
     ),
     Mutant(
-        'losses: a box does not follow its own replica', 'formation',
+        'losses: no update of the leader from the local replica', 'formation',
         'self.leader.set_leader(address)', 'pass', 'losses',
         'its replica follows',
     ),
     Mutant(
-        'losses: voters stand at random times', 'replication',
+        'losses: no staggered elections', 'replication',
         'wait_s = ELECTION_STAGGER_S * (1 + position + node.rng.random() / 4)',
         'wait_s = node.timing.election_s * node.rng.random()', 'losses',
         'the next leader is there soon',
     ),
     Mutant(
-        'losses: a lost pre-vote costs an election time', 'elections',
+        'losses: no fast retry of a lost pre-vote', 'elections',
         'span_s = node.timing.heartbeat_s * 2**node.pre_vote_attempts',
         'span_s = 2 * node.timing.election_s', 'losses', 'asks again soon',
     ),
     Mutant(
-        'losses: two pre-votes at once are both granted', 'elections',
+        'losses: no priority between concurrent pre-votes', 'elections',
         'granted = granted and not '
         '_has_priority(node, sender, message, now_s)',
         'pass', 'losses', 'at the same moment',
     ),
     Mutant(
-        'losses: who granted a pre-vote stands too', 'elections',
+        'losses: no deferral after granting a pre-vote', 'elections',
         '            _defer_election(node, now_s)\n', '            pass\n',
         'losses', 'at the same moment',
     ),
     Mutant(
-        'losses: a replacement gathers a majority', 'spread',
+        'losses: no placement check on replacements', 'spread',
         'if voter in silent and excess_after > now:', 'if False:', 'losses',
         'Voters stand',
     ),
     Mutant(
-        'losses: voters change places for nothing', 'spread',
+        'losses: no placement gain required for a change', 'spread',
         'if voter not in silent and excess_after >= now:', 'if False:',
         'losses', 'Voters stand',
     ),
     Mutant(
-        'losses: any learner will do', 'spread',
+        'losses: no ranking of learners', 'spread',
         'return excess(changed, hall_losses), by_hall(changed)',
         'return 0, {}', 'losses', 'Voters stand',
     ),
     Mutant(
-        'losses: whoever is removed', 'spread',
+        'losses: no ranking of voters to remove', 'spread',
         '            excess(changed, hall_losses),\n            key == ',
         '            key == ', 'losses', 'Voters stand',
     ),
     Mutant(
-        'losses: a place is made before it can be filled', 'formation',
+        'losses: no promotion before a removal', 'formation',
         'return config.promote(learner) if is_full else',
         'return', 'losses', 'Voters stand',
     ),
     Mutant(
-        'losses: a fourth voter with no fifth', 'formation',
+        'losses: no second learner required for a fourth voter', 'formation',
         'if len(places.ready) < 2:', 'if False:', 'losses', 'A fourth voter',
     ),
     Mutant(
-        'losses: a better learner is not awaited', 'formation',
+        'losses: no wait for a better learner', 'formation',
         'if bad > spread.excess(better, places.halls):', 'if False:',
         'losses', 'is awaited',
     ),
     Mutant(
-        'losses: a leader that no log tells the hall of', 'formation',
+        'losses: no update of a hall missing from the log', 'formation',
         "if node.config.halls.get(node.node_id, '') != hall:", 'if False:',
         'losses', 'before halls were told',
     ),
     Mutant(
-        'losses: sets with no halls are written anew', 'entries',
+        'losses: no compatible encoding without halls', 'entries',
         'self if self.halls else self[:2]', 'self', 'losses',
         'before halls were told',
     ),
     Mutant(
-        'losses: the spread is not told', 'formation',
+        'losses: no metric for voter placement', 'formation',
         "self.app.metrics.gauge('controllers.hall_loss_stops', int(left < 0))",
         'pass', 'losses', 'it is said',
     ),
     Mutant(
-        'losses: the spread is told at each look', 'formation',
+        'losses: no suppression of repeated placement logs', 'formation',
         '        if told == self._told:\n', '        if False:\n', 'losses',
         'it is said',
     ),
     Mutant(
-        'losses: boxes of a lost hall are noted one by one', 'controller',
+        'losses: no concurrent handling of boxes in a lost hall', 'controller',
         'nursery.start_soon(self._lose, name)', 'await self._lose(name)',
         'losses', 'A large hall',
     ),
     Mutant(
-        'losses: orders go to boxes of a hall that is cut off', 'controller',
+        'losses: no preference for recently renewed leases', 'controller',
         'is_late = not self.leases.renewed_recently(name, late_s, now_s)',
         'is_late = False', 'losses', 'Orders to ranks',
     ),
     Mutant(
-        'lives: late counts that change nothing are heard', 'registry',
+        'incarnations: no sequence check on unchanged heartbeats', 'registry',
         'if heartbeat.seq < max(known.seq, self._newest_seq.get(life, 0)):',
         'if False:', 'lives',
     ),
     Mutant(
-        'halls: the last committed order holds', 'statemachine',
+        'halls: no revision check on orders', 'statemachine',
         'if known.revision != command.revision:', 'if False:', 'halls',
     ),
     Mutant(
-        'halls: what holds already is not acknowledged', 'statemachine',
+        'halls: no acknowledgement of a state already set', 'statemachine',
         'if known.is_out == command.is_out:', 'if False:', 'halls',
         'state of halls',
     ),
     Mutant(
-        'halls: runners are warm after a return', 'statemachine',
+        'halls: no cold start after a restore', 'statemachine',
         'if not command.is_out:', 'if False:', 'halls', 'state of halls',
     ),
     Mutant(
-        'halls: a snapshot loses them', 'statemachine',
+        'halls: no state in snapshots', 'statemachine',
         'self.view.by_prefix(views.HALL_PREFIX)', "self.view.by_prefix('-')",
         'halls', 'state of halls',
     ),
     Mutant(
-        'halls: a leader tells what no quorum confirms', 'halloffice',
+        'halls: no confirmation of leadership on reads', 'halloffice',
         '        await self._replica.confirm_leadership()\n', '', 'halls',
         'deposed',
     ),
     Mutant(
-        'halls: an order of any age is sent', 'hallorders',
+        'halls: no age limit on orders', 'hallorders',
         '''            if self.app.now_s() - received_s >= MAX_ORDER_AGE_S:
                 raise errors.NoController''',
         '''            if False:
@@ -1168,32 +1172,32 @@
         'halls', 'is suspended',
     ),
     Mutant(
-        'halls: an order that met another is given up', 'hallorders',
+        'halls: no retry after a conflict', 'hallorders',
         '                continue\n', '                raise\n',
         'halls', 'conflicts with a newer',
     ),
     Mutant(
-        'halls: the caller is not watched', 'httpserver',
+        'halls: no detection of disconnected callers', 'httpserver',
         'if not data:\n            scope.cancel()',
         'if not data:\n            pass', 'halls', 'caller disconnects',
     ),
     Mutant(
-        'halls: settings that are read again change none', 'hallorders',
+        'halls: no update on reloaded settings', 'hallorders',
         "        self._halls = settings['halls']", '        pass',
         'halls', 'Reloaded settings',
     ),
     Mutant(
-        'halls: any name is taken', 'hallorders',
+        'halls: no check of names', 'hallorders',
         'if known and name not in known:', 'if False:',
         'halls', 'name of a hall',
     ),
     Mutant(
-        'halls: gateways send there', 'backends',
+        'halls: no exclusion from placement', 'backends',
         'if backend.instance.hall not in self.halls_out', 'if True',
         'halls', 'Two halls',
     ),
     Mutant(
-        'halls: requests wait where all are out', 'picking',
+        'halls: no refusal when all halls are out', 'picking',
         '''if self.known.all_halls_out(exchange.service):
             return False''',
         '''if False:
@@ -1201,17 +1205,17 @@
         'halls', 'All halls',
     ),
     Mutant(
-        'halls: the view of halls is not followed', 'entry',
+        'halls: no update of the view', 'entry',
         '        self._follow_halls()\n        self._follow_quarantine()',
         '        self._follow_quarantine()', 'halls', 'Two halls',
     ),
     Mutant(
-        'halls: a return is a wave', 'slowstart',
+        'halls: no ramp-up after a restore', 'slowstart',
         'return max(0.0, 1.0 - restored_for_s / RAMP_S)', 'return 0.0',
         'halls', 'is ramped up',
     ),
     Mutant(
-        'halls: the own part knows no ramp', 'backends',
+        'halls: no ramp-up of preferred subsets', 'backends',
         'best = self._pick_preferred(candidates, occupancy, rng)',
         '''best = self._pick_preferred(
             candidates,
@@ -1221,124 +1225,124 @@
         'halls', 'is ramped up',
     ),
     Mutant(
-        'forwarding: what is under way is called not run', 'forwarding',
+        'forwarding: no unknown outcome for requests in flight', 'forwarding',
         'if exchange.may_have_run or exchange.is_in_flight:',
         'if exchange.may_have_run:', 'forwarding', 'never answers',
     ),
     Mutant(
-        'forwarding: what may not be repeated is', 'forwarding',
+        'forwarding: no refusal to repeat unsafe requests', 'forwarding',
         'if problem.outcome != errors.NOT_RUN and not route.repeatable:',
         'if False:', 'forwarding', 'unsafe request whose first',
     ),
     Mutant(
-        'last hop: cut answers look whole', 'lasthop',
+        'last hop: no detection of truncated responses', 'lasthop',
         'as problem:\n            raise errors.BadAnswer(str(problem))\n'
         '        except trio', 'as problem:\n            return\n'
         '        except trio', 'forwarding', 'truncates',
     ),
     Mutant(
-        'budgets: no bound', 'budgets',
+        'budgets: no limit on retries', 'budgets',
         'if len(retries) + 1 > quota:', 'if False:', 'entry', 'budget',
     ),
     Mutant(
-        'entry: a planned stop waits for no answer', 'entry',
+        'entry: no wait for open requests on a planned stop', 'entry',
         'while self.front.open_requests and self.app.now_s() < until_s:',
         'while False:', 'entry',
     ),
     Mutant(
-        'warmup: no window', 'warmup',
+        'warmup: no send window', 'warmup',
         'return len(sent_s) < quota or sent_s[0] + WINDOW_S <= now_s',
         'return True', 'warmup',
     ),
     Mutant(
-        'warmup: all gateways own all runners', 'warmup',
+        'warmup: no limit on local owners', 'warmup',
         'return quotas.secondary if rank <= quotas.local_owners else 0',
         'return quotas.secondary', 'warmup',
     ),
     Mutant(
-        'warmup: all gateways elsewhere own all runners', 'warmup',
+        'warmup: no limit on remote owners', 'warmup',
         'return quotas.secondary if rank < quotas.remote_owners else 0',
         'return quotas.secondary', 'warmup',
     ),
     Mutant(
-        'warmup: the whole bound for one view', 'warmup',
+        'warmup: no halving of the limit', 'warmup',
         'half = max(1, int(limit_per_s) // 2)', 'half = int(limit_per_s)',
         'warmup',
     ),
     Mutant(
-        'warmup: a start forgets what was sent', 'warmup',
+        'warmup: no quiet period after a start', 'warmup',
         'if now_s < self._quiet_until_s:\n            return False',
         'if False:\n            return False', 'warmup',
     ),
     Mutant(
-        'warmup: no time to settle', 'warmup',
+        'warmup: no settling time', 'warmup',
         'return found if now_s >= self._settled_s else min(1, found)',
         'return found', 'warmup',
     ),
     Mutant(
-        'warmup: no owner elsewhere', 'warmup',
+        'warmup: no owners in other halls', 'warmup',
         'Quotas(primary, 1, remaining // 2, remaining - remaining // 2)',
         'Quotas(primary, 1, remaining, 0)', 'warmup',
     ),
     Mutant(
-        'warmup: lost gateways are forgotten at once', 'warmup',
+        'warmup: no retention of lost gateways', 'warmup',
         'RETENTION_S = 30.0', 'RETENTION_S = 0.0', 'warmup',
     ),
     Mutant(
-        'warmup: what was turned away counts', 'warmup',
+        'warmup: no release of quota by refused requests', 'warmup',
         "self.at_s = float('-inf')", 'pass', 'warmup',
     ),
     Mutant(
-        'warmup: also where runners bear any number', 'warmup',
+        'warmup: no exemption of runners without a limit', 'warmup',
         'if per_s > 0', 'if per_s >= 0', 'placement',
     ),
     Mutant(
-        'backends: cold runners like others', 'backends',
+        'backends: no extra cost of cold runners', 'backends',
         'added += COLD_COST', 'pass', 'warmup',
     ),
     Mutant(
-        'lines: only in order of arrival', 'waitqueues',
+        'wait queues: no priorities', 'waitqueues',
         'waiter = Waiter((priority, next(self._arrivals)))',
         'waiter = Waiter((0, next(self._arrivals)))', 'warmup',
     ),
     Mutant(
-        'picking: who comes late waits all the same', 'picking',
+        'picking: no refusal of requests that would be too late', 'picking',
         'if send_s != warmup.NEVER and send_s > until_s:', 'if False:',
         'warmup',
     ),
     Mutant(
-        'picking: all owned elsewhere is waited for', 'picking',
+        'picking: no time limit where others own all runners', 'picking',
         'return now_s - since_s < groupstates.MAX_CLOSED_WAIT_S',
         'return True', 'warmup',
     ),
 )  # fmt: skip
 
 
-def path_in(place: pathlib.Path, mutant: Mutant) -> pathlib.Path:
-    """Return the module of a mutant in the tree at ``place``."""
-    return next((place / 'mountridge').rglob(f'{mutant.module}.py'))
+def path_in(tree: pathlib.Path, mutant: Mutant) -> pathlib.Path:
+    """Return the path of a mutant's module in ``tree``."""
+    return next((tree / 'mountridge').rglob(f'{mutant.module}.py'))
 
 
-def copy_with(mutant: Mutant, place: pathlib.Path) -> int:
-    """Copy the tree to ``place`` with the fault put in.
+def copy_with(mutant: Mutant, tree: pathlib.Path) -> int:
+    """Copy the sources to ``tree`` and apply a mutant.
 
-    Returns how often what it replaces stands there; it must be once.
+    Returns how often the snippet to replace occurs, which must be once.
     """
     skip = shutil.ignore_patterns('.git', '.venv', '__pycache__', 'target')
-    shutil.copytree(ROOT, place, ignore=skip)
-    path = path_in(place, mutant)
+    shutil.copytree(ROOT, tree, ignore=skip)
+    path = path_in(tree, mutant)
     text = path.read_text()
     path.write_text(text.replace(mutant.old, mutant.new))
     return text.count(mutant.old)
 
 
 def run(mutant: Mutant) -> tuple[str, list[str]]:
-    """Return (what became of it, scenarios that failed)."""
+    """Return the result of a mutant, and the scenarios that failed."""
     with tempfile.TemporaryDirectory() as folder:
-        place = pathlib.Path(folder) / 'tree'
-        found_times = copy_with(mutant, place)
-        if found_times != 1:
-            return f'stands {found_times} times', []
+        tree = pathlib.Path(folder) / 'tree'
+        count = copy_with(mutant, tree)
+        if count != 1:
+            return f'snippet found {count} times', []
         command = [sys.executable, '-m', 'behave', '--no-color', '-f', 'null']
         command.append(f'features/{mutant.feature}.feature')
         if mutant.scenarios:
@@ -1346,33 +1350,36 @@
         try:
             done = subprocess.run(
                 command,
-                cwd=place,
-                env={'PYTHONPATH': str(place), 'PATH': '/usr/bin:/bin'},
+                cwd=tree,
+                env={'PYTHONPATH': str(tree), 'PATH': '/usr/bin:/bin'},
                 capture_output=True,
                 text=True,
                 timeout=TIMEOUT_S,
             )
         except subprocess.TimeoutExpired:
             return 'caught (time-out)', []
-        found = re.findall(r'^  (features/\S+)', done.stdout, re.M)
-        return ('caught' if found else 'LIVES'), found
+        failed = re.findall(r'^  (features/\S+)', done.stdout, re.M)
+        return ('caught' if failed else 'LIVES'), failed
 
 
 def main() -> int:
-    """Run all, or those whose name holds an argument; 1 if one lives."""
+    """Run all mutants, or those whose name contains an argument.
+
+    Returns 1 if a mutant survived.
+    """
     wanted = sys.argv[1:]
     chosen = [
         m for m in MUTANTS if not wanted or any(w in m.name for w in wanted)
     ]
     with futures.ThreadPoolExecutor(6) as pool:
         results = list(pool.map(run, chosen))
-    living = 0
-    for mutant, (state, found) in zip(chosen, results):
-        living += not state.startswith('caught')
-        cells = ', '.join(found[:3])
-        print(f'{state:18} {mutant.name}: {len(found)} cells {cells}')
-    print(f'{len(chosen) - living} of {len(chosen)} caught')
-    return 1 if living else 0
+    survived = 0
+    for mutant, (state, failed) in zip(chosen, results):
+        survived += not state.startswith('caught')
+        first = ', '.join(failed[:3])
+        print(f'{state:18} {mutant.name}: {len(failed)} scenarios {first}')
+    print(f'{len(chosen) - survived} of {len(chosen)} caught')
+    return 1 if survived else 0
 
 
 if __name__ == '__main__':
--- a/tools/soak/mutants.py
+++ b/tools/soak/mutants.py
@@ -28,21 +28,27 @@
 ANNOUNCEMENT_SIZES = 'tools/soak/words.yaml'
 
 MUTANTS = {
-    'forwarding: what may not be repeated is': Expectation('at most one run'),
-    'forwarding: what is under way is called not run': Expectation(
+    'forwarding: no refusal to repeat unsafe requests': Expectation(
+        'at most one run'
+    ),
+    'forwarding: no unknown outcome for requests in flight': Expectation(
         'not run is true'
     ),
-    'last hop: cut answers look whole': Expectation('whole and right answers'),
-    'entry: go before all are armed': Expectation('one map a pass'),
-    'budgets: no bound': Expectation('repeated sends in budget'),
-    'entry: a planned stop waits for no answer': Expectation(
+    'last hop: no detection of truncated responses': Expectation(
+        'whole and right answers'
+    ),
+    'entry: no wait until all ranks are armed': Expectation('one map a pass'),
+    'budgets: no limit on retries': Expectation('repeated sends in budget'),
+    'entry: no wait for open requests on a planned stop': Expectation(
         'planned stops cut nothing'
     ),
-    'rests: none is heard': Expectation('rests are kept', ANNOUNCEMENT_SIZES),
-    'rests: no word of leaving is heard': Expectation(
+    'backoffs: no handling of Retry-After': Expectation(
+        'rests are kept', ANNOUNCEMENT_SIZES
+    ),
+    'backoffs: no handling of leaving runners': Expectation(
         'who leaves gets nothing', ANNOUNCEMENT_SIZES
     ),
-    'quarantine: no crash is counted': Expectation(
+    'quarantine: no count of crashes': Expectation(
         'requests that crash runners are held back', ANNOUNCEMENT_SIZES
     ),
 }
@@ -66,9 +72,9 @@
     """Return the result of a mutant."""
     with tempfile.TemporaryDirectory() as folder:
         tree = pathlib.Path(folder) / 'tree'
-        times = mutants.copy_with(fault, tree)
-        if times != 1:
-            return f'stands {times} times'
+        count = mutants.copy_with(fault, tree)
+        if count != 1:
+            return f'snippet found {count} times'
         for seed in SEEDS:
             broken = _play(seed, tree, expected.sizes)
             if expected.rule in broken:
