--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,3 +1,3 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Benchmarks: run by hand, never part of a verdict."""
+"""Benchmarks, run by hand and not part of the tests."""
--- a/bench/failovers.py
+++ b/bench/failovers.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Time to the next acknowledged order after a loss among the controllers.
+"""Time to the next acknowledged order after the loss of controllers.
 
-Plays on virtual time: 9 entries in 3 halls, of which 6 have a disk, and an
-operator who waits 1 s for an answer before it goes to another box. It asks
-boxes that are there, since what a lost box costs it is its own wait.
-``python -m bench.failovers [PLAYS]``.
+Runs in virtual time: 9 entries in 3 halls, 6 of them with a disk, and an
+operator who waits 1 s for an answer before it tries another box. The operator
+only asks boxes that are up, as a lost one would merely add its own time-out.
+``python -m bench.failovers [RUNS]``.
 """
 
 from concurrent import futures
@@ -20,18 +20,18 @@
 from bench import path
 from features.worlds import core
 
-PLAYS = 200
+RUNS = 200
 HALLS = {
     f'{hall}{number}': (hall, number < 3)
     for number in (1, 2, 3)
     for hall in ('north', 'south', 'west')
 }
-#: The founder, a box with a disk, and one without.
+#: The founding box, one with a disk, and one without.
 SEEDS = ['north1', 'south2', 'west3']
-#: An order comes this long after the loss, at most.
-ORDER_S = 0.2
-#: Plays at once.
-JOBS = 4
+#: Maximum delay of the order after the loss.
+MAX_ORDER_DELAY_S = 0.2
+#: Concurrent runs.
+PROCESSES = 4
 
 
 def _leader_killed(world, leader, others):
@@ -74,7 +74,7 @@
 }
 
 
-async def _play(world, loss, rng) -> float:
+async def _run(world, loss, rng) -> float:
     await world.begin()
     await trio.sleep(rng.random())
     leader = world.leader()
@@ -82,20 +82,20 @@
     rng.shuffle(others)
     loss(world, leader, others)
     lost_s = trio.current_time()
-    await trio.sleep(rng.random() * ORDER_S)
-    left = [n for n in world.processes if n not in world.silent]
-    rng.shuffle(left)
-    await world.order_until_acked(3 * left, 1)
+    await trio.sleep(rng.random() * MAX_ORDER_DELAY_S)
+    remaining = [n for n in world.processes if n not in world.silent]
+    rng.shuffle(remaining)
+    await world.order_until_acked(3 * remaining, 1)
     return trio.current_time() - lost_s
 
 
-def play(loss: str, seed: int) -> float:
-    """Return the time from the loss to the acknowledgement, in s."""
+def run(loss: str, seed: int) -> float:
+    """Return the time in s from the loss to the acknowledgement."""
     logging.disable()
     rng = random.Random(f'{loss} {seed}')
 
     def script(world):
-        return _play(world, LOSSES[loss], rng)
+        return _run(world, LOSSES[loss], rng)
 
     return core.play(
         script, seed, HALLS, SEEDS, controller_losses=2, hall_losses=1
@@ -103,15 +103,17 @@
 
 
 def main() -> None:
-    """Play each loss and print the table."""
-    plays = int(sys.argv[1]) if len(sys.argv) > 1 else PLAYS
+    """Run each loss and print the table."""
+    runs = int(sys.argv[1]) if len(sys.argv) > 1 else RUNS
     rows = []
-    with futures.ProcessPoolExecutor(JOBS) as pool:
+    with futures.ProcessPoolExecutor(PROCESSES) as pool:
         for loss in LOSSES:
-            one = functools.partial(play, loss)
-            took = sorted(pool.map(one, range(plays), chunksize=5))
-            parts = [path.quantile(took, part) for part in (0.5, 0.9, 0.99)]
-            rows.append([loss, *parts, took[-1]])
+            run_loss = functools.partial(run, loss)
+            times_s = sorted(pool.map(run_loss, range(runs), chunksize=5))
+            quantiles = [
+                path.quantile(times_s, share) for share in (0.5, 0.9, 0.99)
+            ]
+            rows.append([loss, *quantiles, times_s[-1]])
     headers = ['loss', 'p50 s', 'p90 s', 'p99 s', 'worst s']
     print(tabulate.tabulate(rows, headers=headers, floatfmt='.3f'))
 
--- a/bench/maps.py
+++ b/bench/maps.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Policies for expert maps over scripted drifts: skew against bytes moved.
+"""Compares expert map policies over scripted drifts: skew and bytes moved.
 
-The load of experts is invented, seeded, and reported one interval late.
-Leaves out: layers of different load, and the network between ranks.
+The load of experts is synthetic, seeded, and reported one interval late. Not
+modelled: layers of different load, and the network between ranks.
 ``make bench-maps`` prints the table, ``make plots`` draws the frontier.
 """
 
@@ -16,114 +16,119 @@
 
 from mountridge.experts import maps
 
-INTERVALS = 90
 #: An hour, in intervals of 40 s.
+INTERVALS = 90
 EXPERT_GIB = 0.08
 EXPERTS = 64
 SLOTS = {16: 6, 64: 2}
-ERTIS = maps.Weights(skew=4.0, move=1.0, expert_gib=EXPERT_GIB)
-MITTELLAND = maps.Weights(skew=1.0, move=40.0, expert_gib=EXPERT_GIB)
-FREE = maps.Weights(skew=1.0, move=0.0, expert_gib=EXPERT_GIB)
+SKEW_FIRST = maps.Weights(skew=4.0, move=1.0, expert_gib=EXPERT_GIB)
+MOVES_FIRST = maps.Weights(skew=1.0, move=40.0, expert_gib=EXPERT_GIB)
+FREE_MOVES = maps.Weights(skew=1.0, move=0.0, expert_gib=EXPERT_GIB)
 
 
-def base(rng: random.Random) -> list[float]:
+def initial_load(rng: random.Random) -> list[float]:
     """Return a skewed load of the experts, in random order."""
     load = [1 / (1 + n) ** 0.4 for n in range(EXPERTS)]
     rng.shuffle(load)
     return load
 
 
-def cold_snap(load, at, rng):
-    """A sixth of the experts fills to 4 times its load within 10 min."""
-    rise = min(1.0, max(0.0, (at - 15) / 15))
+def cold_snap(load, interval, rng):
+    """The load of a sixth of the experts quadruples within 10 min."""
+    rise = min(1.0, max(0.0, (interval - 15) / 15))
     return [x * (1 + 3 * rise * (n % 6 == 0)) for n, x in enumerate(load)]
 
 
-def tariff_change(load, at, rng):
-    """At once, eight experts have five times their load."""
-    return [x * (5 if at >= 30 and n < 8 else 1) for n, x in enumerate(load)]
+def tariff_change(load, interval, rng):
+    """The load of eight experts increases to five times at once."""
+    return [
+        x * (5 if interval >= 30 and n < 8 else 1) for n, x in enumerate(load)
+    ]
 
 
-def slow_drift(load, at, rng):
-    """Popularity wanders round all experts in an hour."""
+def slow_drift(load, interval, rng):
+    """The peak load moves across all experts within an hour."""
     return [
-        x * (1.5 + math.sin(2 * math.pi * (at / INTERVALS + n / EXPERTS)))
+        x
+        * (1.5 + math.sin(2 * math.pi * (interval / INTERVALS + n / EXPERTS)))
         for n, x in enumerate(load)
     ]
 
 
-def flapping(load, at, rng):
-    """Every 80 s two sets of experts change places."""
-    side = (at // 2) % 2
+def flapping(load, interval, rng):
+    """The peak load alternates between two sets of experts every 80 s."""
+    side = (interval // 2) % 2
     return [x * (3 if n % 8 == side else 1) for n, x in enumerate(load)]
 
 
-def failed_rank(load, at, rng):
-    """No drift; the map loses a rank and gets it back (see `run`)."""
+def failed_rank(load, interval, rng):
+    """No drift, but a rank fails and returns (see `run`)."""
     return list(load)
 
 
 DRIFTS = (cold_snap, tariff_change, slow_drift, flapping, failed_rank)
 
 
-def never(current, loads, at):
+def never(placement, loads, interval):
     """Never move."""
     return None
 
 
-def greedy(current, loads, at):
-    """Move all that lowers the skew, at each interval."""
+def greedy(placement, loads, interval):
+    """Make every move that lowers the skew, at each interval."""
     now = maps.Loads(loads.fast, loads.fast)
-    return maps.plan(current, now, FREE)
+    return maps.plan(placement, now, FREE_MOVES)
 
 
-def periodic(current, loads, at):
-    """Move all that lowers the skew, every five minutes."""
-    return greedy(current, loads, at) if at % 8 == 0 else None
+def periodic(placement, loads, interval):
+    """Make every move that lowers the skew, every five minutes."""
+    return greedy(placement, loads, interval) if interval % 8 == 0 else None
 
 
-def ours(weights):
-    """Return our policy at the given weights."""
-    return lambda current, loads, at: maps.plan(current, loads, weights)
+def planner(weights):
+    """Return the policy of `maps.plan` with the given weights."""
+    return lambda placement, loads, interval: maps.plan(
+        placement, loads, weights
+    )
 
 
 POLICIES = {
     'never': never,
     'greedy': greedy,
     'periodic': periodic,
-    'ours, Ertis': ours(ERTIS),
-    'ours, Mittelland': ours(MITTELLAND),
+    'planner, skew first': planner(SKEW_FIRST),
+    'planner, moves first': planner(MOVES_FIRST),
 }
 
 
 def run(policy, drift, ranks: int, seed: int) -> tuple[float, float, int]:
     """Return (mean skew, GiB moved, intervals with a move)."""
     rng = random.Random(seed)
-    still = base(rng)
-    current = maps.first_map(ranks, SLOTS[ranks], EXPERTS)
+    base_load = initial_load(rng)
+    placement = maps.first_map(ranks, SLOTS[ranks], EXPERTS)
     loads = None
-    skews, moved, moves = [], 0, 0
-    for at in range(INTERVALS):
-        true = drift(still, at, rng)
-        true = [x * rng.uniform(0.9, 1.1) for x in true]
-        if drift is failed_rank and at == 30:
-            # Its neighbours hold its experts until a plan spreads them.
-            current = _without_rank(current)
-        skews.append(maps.skew(current, true))
+    skews, moved, move_count = [], 0, 0
+    for interval in range(INTERVALS):
+        actual = drift(base_load, interval, rng)
+        actual = [x * rng.uniform(0.9, 1.1) for x in actual]
+        if drift is failed_rank and interval == 30:
+            # A neighbour takes over its experts until the next plan.
+            placement = _without_rank(placement)
+        skews.append(maps.skew(placement, actual))
         if loads is not None:
-            made = policy(current, loads, at)
-            if made is not None:
-                moved += made.moved
-                moves += 1
-                current = made.new
-        loads = maps.smooth(loads, true)
-    return statistics.mean(skews), moved * EXPERT_GIB, moves
-
-
-def _without_rank(current):
-    """Return the map with rank 0 standing in for rank 1's experts."""
-    first = tuple(dict.fromkeys(current[0] + current[1]))
-    rest = current[2:]
+            plan = policy(placement, loads, interval)
+            if plan is not None:
+                moved += plan.moved
+                move_count += 1
+                placement = plan.new
+        loads = maps.smooth(loads, actual)
+    return statistics.mean(skews), moved * EXPERT_GIB, move_count
+
+
+def _without_rank(placement):
+    """Return the map with the experts of ranks 0 and 1 redistributed."""
+    first = tuple(dict.fromkeys(placement[0] + placement[1]))
+    rest = placement[2:]
     return (first[: len(first) // 2], first[len(first) // 2 :]) + rest
 
 
@@ -133,23 +138,23 @@
     for ranks in SLOTS:
         for drift in DRIFTS:
             for name, policy in POLICIES.items():
-                found = run(policy, drift, ranks, seed)
-                rows.append([ranks, drift.__name__, name, *found])
+                result = run(policy, drift, ranks, seed)
+                rows.append([ranks, drift.__name__, name, *result])
     return rows
 
 
 def main() -> None:
-    """Print the table, and its means; draw it where a file is named."""
+    """Print the table and its means; draw them if a file is given."""
     rows = table()
     headers = ['ranks', 'drift', 'policy', 'skew', 'GiB moved', 'moves']
     print(tabulate.tabulate(rows, headers=headers, floatfmt='.3f'))
     means = []
     for ranks in SLOTS:
         for name in POLICIES:
-            mine = [r for r in rows if r[0] == ranks and r[2] == name]
+            matching = [r for r in rows if r[0] == ranks and r[2] == name]
             means.append(
                 [ranks, name]
-                + [statistics.mean(r[k] for r in mine) for k in (3, 4, 5)]
+                + [statistics.mean(r[k] for r in matching) for k in (3, 4, 5)]
             )
     print(tabulate.tabulate(means, headers=headers[:1] + headers[2:]))
     if len(sys.argv) > 1:
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Cost of the path: CPU of gateway and agent per request and per token.
+"""CPU cost of the request path through gateway and agent, per token.
 
-One table: our two hops beside the bare relay and the one-hop relay with
-the house's HTTP libraries, in turns in one run. ``make bench``.
+Compares these two hops with a bare relay and with a one-hop relay on common
+HTTP libraries; the measurements alternate within one run. ``make bench``.
 """
 
 import pathlib
@@ -23,7 +23,7 @@
 TOKENS = 150
 STREAMS = (1, 60, 300)
 ROUNDS = 2
-SHEET = (
+TABLE = (
     'team,service,concurrency,rate_per_s,queue_s\n'
     'dispatch,drafts,100000,100000,30\n'
 )
@@ -49,8 +49,8 @@
     return int(line.split()[1]) / 1024
 
 
-class Seen:
-    """What one stream's caller saw."""
+class StreamStats:
+    """Timing of one stream, as its caller observes it."""
 
     def __init__(self) -> None:
         self.first_s = 0.0
@@ -58,57 +58,57 @@
         self.tokens = 0
 
 
-async def _one(address: str, seen: Seen) -> None:
+async def _stream(address: str, stats: StreamStats) -> None:
     stream = await trio.open_tcp_stream(*relays.split(address))
-    begun_s = last_s = time.perf_counter()
+    started_s = last_s = time.perf_counter()
     await stream.send_all(REQUEST)
     tail = b''
     while b'\r\n0\r\n\r\n' not in tail:
         data = await stream.receive_some(65536)
-        assert data, f'{address}: the answer was cut after {seen.tokens}'
+        assert data, f'{address}: the answer was cut after {stats.tokens}'
         now_s = time.perf_counter()
         count = data.count(b'data: ')
         if count:
-            if not seen.first_s:
-                seen.first_s = now_s - begun_s
+            if not stats.first_s:
+                stats.first_s = now_s - started_s
             else:
-                seen.gaps_s.append(now_s - last_s)
+                stats.gaps_s.append(now_s - last_s)
             last_s = now_s
-        seen.tokens += count
+        stats.tokens += count
         tail = (tail + data)[-16:]
     await stream.aclose()
 
 
-async def _all(address: str, count: int) -> list[Seen]:
-    listed = [Seen() for _ in range(count)]
+async def _stream_all(address: str, count: int) -> list[StreamStats]:
+    listed = [StreamStats() for _ in range(count)]
     async with trio.open_nursery() as nursery:
-        for seen in listed:
-            nursery.start_soon(_one, address, seen)
+        for stats in listed:
+            nursery.start_soon(_stream, address, stats)
             await trio.sleep(GAP_S / count)
     return listed
 
 
-def quantile(values: list[float], part: float) -> float:
-    """Return the value below which ``part`` of the values lie."""
+def quantile(values: list[float], share: float) -> float:
+    """Return the quantile of the values at ``share``, from 0 to 1."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
 def measure(address: str, pids: list[int], count: int) -> dict:
-    """Return the cost of ``count`` streams at once, per process."""
+    """Return the cost of ``count`` concurrent streams, per process."""
     before = [cpu_s(pid) for pid in pids]
-    begun_s = time.perf_counter()
-    listed = trio.run(_all, address, count)
-    took_s = time.perf_counter() - begun_s
+    started_s = time.perf_counter()
+    listed = trio.run(_stream_all, address, count)
+    duration_s = time.perf_counter() - started_s
     used = [cpu_s(pid) - b for pid, b in zip(pids, before)]
-    tokens = sum(seen.tokens for seen in listed)
+    tokens = sum(stats.tokens for stats in listed)
     assert tokens == count * TOKENS, tokens
-    gaps = [gap for seen in listed for gap in seen.gaps_s]
+    gaps = [gap for stats in listed for gap in stats.gaps_s]
     return {
         'us': [each / tokens * 1e6 for each in used],
         'first_ms': 1e3 * statistics.median(s.first_s for s in listed),
         'gap_ms': 1e3 * quantile(gaps, 0.95),
-        'cores': sum(used) / took_s,
+        'cores': sum(used) / duration_s,
         'rss': [rss_mb(pid) for pid in pids],
     }
 
@@ -121,23 +121,23 @@
     return [f'127.0.0.1:{ports.free_port()}' for _ in range(count)]
 
 
-def _start_path(made: cluster.Cluster, source: str) -> None:
-    made.add_controllers(['c1'])
-    made.add(
+def _start_path(system: cluster.Cluster, source: str) -> None:
+    system.add_controllers(['c1'])
+    system.add(
         'agent',
         'a1',
         runner=f'http://{source}',
         services=['drafts'],
         slots=1000,
     )
-    made.start('a1')
-    made.add('gateway', 'g1')
-    made.start('g1')
-    made.put_table(SHEET)
-    made.wait_ready('g1', 1)
+    system.start('a1')
+    system.add('gateway', 'g1')
+    system.start('g1')
+    system.put_table(TABLE)
+    system.wait_ready('g1', 1)
 
 
-def _row(name: str, count: int, rounds: list[dict]) -> list:
+def _summarize(name: str, count: int, rounds: list[dict]) -> list:
     def median(pick) -> float:
         return statistics.median(pick(each) for each in rounds)
 
@@ -156,7 +156,7 @@
 
 
 def main() -> None:
-    """Run all and print the table."""
+    """Run all measurements and print the table."""
     source, bare, quart = _addresses(3)
     helpers = [
         _python('source', source, str(GAP_S), str(TOKENS)),
@@ -165,13 +165,13 @@
     ]
     folder = tempfile.mkdtemp()
     try:
-        with cluster.Cluster(folder) as made:
-            _start_path(made, source)
-            pids = [made.processes[name].pid for name in ('g1', 'a1')]
+        with cluster.Cluster(folder) as system:
+            _start_path(system, source)
+            pids = [system.processes[name].pid for name in ('g1', 'a1')]
             subjects = {
                 'bare relay': (bare, [helpers[1].pid]),
                 'quart + httpx, 1 hop': (quart, [helpers[2].pid]),
-                'gateway + agent': (made.http['g1'], pids),
+                'gateway + agent': (system.http['g1'], pids),
             }
             table = []
             for count in STREAMS:
@@ -180,7 +180,7 @@
                     for name, (address, each) in subjects.items():
                         rounds[name].append(measure(address, each, count))
                 for name, found in rounds.items():
-                    table.append(_row(name, count, found))
+                    table.append(_summarize(name, count, found))
             print(tabulate.tabulate(table, headers=HEADERS, floatfmt='.1f'))
     finally:
         for helper in helpers:
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -1,13 +1,14 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Policies for placing on the same seeded work: wait, hits, worst queue.
+"""Compares policies that select runners, on the same seeded workload.
 
-Ten gateways, sixteen runners with slots, a first-come queue and a small
-prefix cache each; reports reach gateways at an interval. Leaves out: classes,
-limits, retries, and tokens (a request just keeps a slot for a time).
+Simulates ten gateways and sixteen runners, each with slots, a first-come
+queue and a small prefix cache; reports reach gateways at an interval. Not
+modelled: classes, limits, retries, and tokens (a request occupies a slot for
+some time). Prints waiting times, cache hits and the longest queue.
 
-Then the time that an entry takes to place a routed request, with the bound on
-runners that can turn cold and without. ``make bench-placing``.
+Also measures the time in which an entry selects a runner for a routed
+request, with and without a limit for cold runners. ``make bench-placing``.
 """
 
 import collections
@@ -31,7 +32,7 @@
 
 
 class Runner:
-    """Slots, a queue, and a cache of prefixes."""
+    """A runner with slots, a queue and a prefix cache."""
 
     def __init__(self, name: str):
         self.name = name
@@ -41,112 +42,114 @@
         self.cache: collections.OrderedDict = collections.OrderedDict()
 
     def load(self) -> int:
-        """Return requests running and waiting."""
+        """Return the number of running and waiting requests."""
         return self.running + len(self.waiting)
 
 
-class Known:
-    """What a gateway knows of a runner."""
+class RunnerView:
+    """The state of a runner as known to a gateway."""
 
     def __init__(self) -> None:
         self.reported, self.at_s = 0, 0.0
-        self.own, self.own_since = 0, 0
+        self.own, self.own_since_report = 0, 0
         self.first_s = 0.0
 
 
-def _candidates(known, now_s: float) -> list[placing.Candidate]:
-    usual = statistics.median(k.first_s for k in known.values()) or 1e-9
+def _candidates(views, now_s: float) -> list[placing.Candidate]:
+    usual = statistics.median(k.first_s for k in views.values()) or 1e-9
     return [
         placing.Candidate(
-            name, 'h', SLOTS, k.reported, now_s - k.at_s, k.own_since, k.own,
+            name, 'h', SLOTS, k.reported, now_s - k.at_s,
+            k.own_since_report, k.own,
             max(1.0, k.first_s / usual) if k.first_s else 1.0,
             k.first_s > 4 * usual and k.first_s > 0.5, 1e9,
         )
-        for name, k in known.items()
+        for name, k in views.items()
     ]  # fmt: skip
 
 
-def ours(known, prefix, memory, rng, now_s, turn):
-    """The daemon's own placing."""
+def with_affinity(views, prefix, last_runner, rng, now_s, turn):
+    """Select a runner as the gateway does."""
     choice = placing.choose(
-        _candidates(known, now_s), 'h', memory.get(prefix, ''), rng
+        _candidates(views, now_s), 'h', last_runner.get(prefix, ''), rng
     )
     return choice.name
 
 
-def ours_no_affinity(known, prefix, memory, rng, now_s, turn):
-    """The daemon's own placing with no memory of prefixes."""
-    return placing.choose(_candidates(known, now_s), 'h', '', rng).name
+def without_affinity(views, prefix, last_runner, rng, now_s, turn):
+    """Select a runner as the gateway does, without prefix affinity."""
+    return placing.choose(_candidates(views, now_s), 'h', '', rng).name
 
 
-def anywhere(known, prefix, memory, rng, now_s, turn):
-    """A random runner."""
-    return rng.choice(list(known))
+def random_runner(views, prefix, last_runner, rng, now_s, turn):
+    """Select a random runner."""
+    return rng.choice(list(views))
 
 
-def round_robin(known, prefix, memory, rng, now_s, turn):
-    """Each runner in turn, by gateway."""
-    return list(known)[turn % len(known)]
+def round_robin(views, prefix, last_runner, rng, now_s, turn):
+    """Select each runner in turn, separately at each gateway."""
+    return list(views)[turn % len(views)]
 
 
-def least_reported(known, prefix, memory, rng, now_s, turn):
-    """The runner whose last report is the least."""
-    return min(known, key=lambda n: (known[n].reported, rng.random()))
+def least_reported(views, prefix, last_runner, rng, now_s, turn):
+    """Select the runner with the lowest reported load."""
+    return min(views, key=lambda n: (views[n].reported, rng.random()))
 
 
-def two_choices(known, prefix, memory, rng, now_s, turn):
-    """Of two drawn at random the one with the lesser report."""
-    return min(rng.sample(list(known), 2), key=lambda n: known[n].reported)
+def two_choices(views, prefix, last_runner, rng, now_s, turn):
+    """Select the one with the lower reported load of two random runners."""
+    return min(rng.sample(list(views), 2), key=lambda n: views[n].reported)
 
 
 POLICIES = {
-    'random': anywhere,
+    'random': random_runner,
     'round robin': round_robin,
     'least reported': least_reported,
     'two choices': two_choices,
-    'ours, no affinity': ours_no_affinity,
-    'ours': ours,
+    'placing, no affinity': without_affinity,
+    'placing': with_affinity,
 }
 
 
 class Run:
-    """One run of a policy."""
+    """A simulation of one policy."""
 
     def __init__(self, policy, report_s: float, fault: str, seed: int):
         self.policy, self.report_s = policy, report_s
-        self.work = random.Random(seed)
+        self.workload = random.Random(seed)
         self.rng = random.Random(seed + 1)
         self.runners = {f'r{n}': Runner(f'r{n}') for n in range(RUNNERS)}
         self.fault = fault
-        self.known = [
-            {name: Known() for name in self.runners} for _ in range(GATEWAYS)
+        self.views = [
+            {name: RunnerView() for name in self.runners}
+            for _ in range(GATEWAYS)
         ]
-        self.memory: list[dict] = [{} for _ in range(GATEWAYS)]
+        self.last_runner: list[dict] = [{} for _ in range(GATEWAYS)]
         self.events: list = []
         self.count = 0
         self.waits: list[float] = []
-        self.hits = self.worst = 0
-        self.turns = [n * 3 for n in range(GATEWAYS)]
+        self.hits = self.longest_queue = 0
+        self.turn_counts = [n * 3 for n in range(GATEWAYS)]
 
     def at(self, time_s: float, kind, *args) -> None:
-        """Do something later."""
+        """Schedule an event."""
         self.count += 1
         heapq.heappush(self.events, (time_s, self.count, kind, args))
 
-    def go(self) -> list:
-        """Run and return (p50, p99 wait in s, hit share, worst queue)."""
+    def simulate(self) -> list:
+        """Run and return (p50, p99 wait in s, hit share, longest queue)."""
         rate = LOAD * RUNNERS * SLOTS / MEAN_S
         now_s = 0.0
         while now_s < SPAN_S:
-            now_s += self.work.expovariate(rate)
-            size_s = self.work.lognormvariate(-0.5, 1.0) * MEAN_S
-            prefix = int(PREFIXES * self.work.random() ** 2)
-            gateway = self.work.randrange(GATEWAYS)
+            now_s += self.workload.expovariate(rate)
+            size_s = self.workload.lognormvariate(-0.5, 1.0) * MEAN_S
+            prefix = int(PREFIXES * self.workload.random() ** 2)
+            gateway = self.workload.randrange(GATEWAYS)
             self.at(now_s, self.arrive, gateway, prefix, size_s)
         for name in self.runners:
             self.at(self.rng.uniform(0, self.report_s), self.report, name)
         if self.fault:
-            self.at(SPAN_S / 4, self.strike)
+            self.at(SPAN_S / 4, self.inject_fault)
         while self.events:
             now_s, _, kind, args = heapq.heappop(self.events)
             if now_s > 3 * SPAN_S:
@@ -157,41 +160,46 @@
             statistics.median(self.waits),
             path.quantile(self.waits, 0.99),
             self.hits / total,
-            self.worst,
+            self.longest_queue,
         ]
 
-    def strike(self, now_s: float) -> None:
-        """A runner becomes five times slower."""
+    def inject_fault(self, now_s: float) -> None:
+        """Make one runner five times slower."""
         self.runners['r0'].slow = 5.0
 
     def report(self, now_s: float, name: str) -> None:
-        """A runner's load reaches all gateways."""
-        for known in self.known:
-            known[name].reported = self.runners[name].load()
-            known[name].at_s = now_s
-            known[name].own_since = 0
+        """Report a runner's load to all gateways."""
+        for views in self.views:
+            views[name].reported = self.runners[name].load()
+            views[name].at_s = now_s
+            views[name].own_since_report = 0
         if now_s < SPAN_S:
             self.at(now_s + self.report_s, self.report, name)
 
     def arrive(self, now_s, gateway, prefix, size_s) -> None:
-        """A request is placed."""
-        known, memory = self.known[gateway], self.memory[gateway]
-        self.turns[gateway] += 1
+        """Assign a request to a runner."""
+        views, last_runner = self.views[gateway], self.last_runner[gateway]
+        self.turn_counts[gateway] += 1
         name = self.policy(
-            known, prefix, memory, self.rng, now_s, self.turns[gateway]
+            views,
+            prefix,
+            last_runner,
+            self.rng,
+            now_s,
+            self.turn_counts[gateway],
         )
-        memory[prefix] = name
-        known[name].own += 1
-        known[name].own_since += 1
+        last_runner[prefix] = name
+        views[name].own += 1
+        views[name].own_since_report += 1
         runner = self.runners[name]
         runner.waiting.append((now_s, gateway, prefix, size_s))
-        self.worst = max(self.worst, len(runner.waiting))
+        self.longest_queue = max(self.longest_queue, len(runner.waiting))
         self.begin(now_s, runner)
 
     def begin(self, now_s, runner) -> None:
-        """Waiting requests take free slots."""
+        """Start waiting requests while there are free slots."""
         while runner.waiting and runner.running < SLOTS:
-            came_s, gateway, prefix, size_s = runner.waiting.popleft()
+            arrived_s, gateway, prefix, size_s = runner.waiting.popleft()
             runner.running += 1
             hit = prefix in runner.cache
             self.hits += hit
@@ -199,28 +207,28 @@
             runner.cache.move_to_end(prefix)
             if len(runner.cache) > CACHED:
                 runner.cache.popitem(last=False)
-            took_s = size_s * (1 - HIT_SAVES * hit) * runner.slow
-            first_s = now_s - came_s + 0.05 * runner.slow
+            run_s = size_s * (1 - HIT_SAVES * hit) * runner.slow
+            first_s = now_s - arrived_s + 0.05 * runner.slow
             self.waits.append(first_s)
-            known = self.known[gateway][runner.name]
-            known.first_s += 0.2 * (first_s - known.first_s)
-            self.at(now_s + took_s, self.end, runner, gateway)
+            view = self.views[gateway][runner.name]
+            view.first_s += 0.2 * (first_s - view.first_s)
+            self.at(now_s + run_s, self.end, runner, gateway)
 
     def end(self, now_s, runner, gateway) -> None:
-        """A request frees its slot."""
+        """End a request and free its slot."""
         runner.running -= 1
-        self.known[gateway][runner.name].own -= 1
-        self.known[gateway][runner.name].own_since -= 1
+        self.views[gateway][runner.name].own -= 1
+        self.views[gateway][runner.name].own_since_report -= 1
         self.begin(now_s, runner)
 
 
-#: Requests that are placed one after the other for one figure, 0.1 s apart,
-#: and how often; the least of all counts, since the machine does other work.
-PLACED, REPEATS = 400, 9
+#: Requests per measurement, 0.1 s apart, and measurements, of which the
+#: shortest counts as the machine may be shared.
+REQUESTS, REPEATS = 400, 9
 
 
-def _entry(gateways: int, runners: int, cold_per_s: float):
-    """Return what one of the gateways knows of runners in 3 halls."""
+def _entry(gateways: int, runners: int, limit_per_s: float):
+    """Return the state of an entry that knows runners in 3 halls."""
     known = backends.Backends('g-0')
     known.report_interval_s = 0.2
     halls = {f'g-{n}': f'h{n % 3}' for n in range(gateways)}
@@ -232,24 +240,24 @@
     )
     known.update_gateways(halls)
     known.warmup.update_gateways(halls, 0.0)
-    known.warmup.update_services({'s': cold_per_s})
+    known.warmup.update_services({'s': limit_per_s})
     return known
 
 
-def _placing_us(gateways: int, runners: int, cold_per_s: float) -> float:
-    """Return the microseconds that placing one request takes."""
-    found = []
+def _placing_us(gateways: int, runners: int, limit_per_s: float) -> float:
+    """Return the time to select a runner for one request, in us."""
+    results = []
     for _ in range(REPEATS):
-        known, now_s = _entry(gateways, runners, cold_per_s), 10.0
+        known, now_s = _entry(gateways, runners, limit_per_s), 10.0
         rng = random.Random(3)
-        begun_s = time.perf_counter()
-        for _ in range(PLACED):
+        started_s = time.perf_counter()
+        for _ in range(REQUESTS):
             picked = known.pick('s', 'h0', set(), gateways, rng, now_s)
             known.request_started(picked.backend, now_s).mark_sent(now_s)
             picked.backend.request_ended()
             now_s += 0.1
-        found.append((time.perf_counter() - begun_s) / PLACED * 1e6)
-    return min(found)
+        results.append((time.perf_counter() - started_s) / REQUESTS * 1e6)
+    return min(results)
 
 
 def _print_times() -> None:
@@ -268,11 +276,13 @@
     rows = []
     for report_s, fault in ((0.1, ''), (1, ''), (5, ''), (1, '5 x slow')):
         for name, policy in POLICIES.items():
-            found = [Run(policy, report_s, fault, s).go() for s in range(3)]
-            means = [statistics.mean(col) for col in zip(*found)]
+            results = [
+                Run(policy, report_s, fault, s).simulate() for s in range(3)
+            ]
+            means = [statistics.mean(col) for col in zip(*results)]
             rows.append([report_s, fault, name, *means])
     headers = ['reports s', 'fault', 'policy', 'p50 first s', 'p99 first s']
-    headers += ['hit share', 'worst queue']
+    headers += ['hit share', 'longest queue']
     print(tabulate.tabulate(rows, headers=headers, floatfmt='.2f'))
     _print_times()
 
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""At how many crashes a request is held back: what each bound costs.
+"""Compares crash thresholds for the quarantine of requests.
 
-A model without a network. Requests come to runners that work on several at
-once; a few requests crash what begins to run them, and runners crash by
-themselves too. All that runs on a runner that crashes breaks, is tried a
-second time elsewhere, and its caller comes again once. Printed for each
-bound: crashes by each killer, and innocent requests held back.
+A simulation without a network. Runners process several requests at once; a
+few requests crash the runner that starts them, and runners also crash by
+themselves. All requests on a crashed runner fail, are retried once elsewhere,
+and are sent once more by their callers. Prints, for each threshold, the
+crashes caused by requests, and the harmless requests that are quarantined.
 Run it as ``python -m bench.quarantine``.
 """
 
@@ -15,33 +15,33 @@
 import random
 import typing
 
-RUNNERS, RUN_S, BACK_S = 16, 1.0, 3.0
-PER_S, SPAN_S = 60.0, 1000.0
-#: One in so many requests crashes what runs it, from 20 different ones.
-ONE_IN, KILLERS = 1000, 20
-TRIES, CALLS, AGAIN_S = 2, 2, 0.5
-BOUNDS = (1, 2, 3, 4)
+RUNNERS, RUN_S, DOWN_S = 16, 1.0, 3.0
+REQUESTS_PER_S, SPAN_S = 60.0, 1000.0
+#: One in so many requests is one of a few that crash their runner.
+CRASHING_ONE_IN, CRASHING_REQUESTS = 1000, 20
+MAX_ATTEMPTS, MAX_CALLS, CALL_AGAIN_S = 2, 2, 0.5
+THRESHOLDS = (1, 2, 3, 4)
 
 
 class Result(typing.NamedTuple):
-    """What one play came to."""
+    """Counts of one simulation."""
 
     asked: int
     crashes: int
-    by_killers: int
-    most_of_one: int  # crashes by the worst of the killers
-    held: int  # innocent requests that were held back
+    by_requests: int
+    most_by_one: int  # crashes by the request that caused most
+    quarantined: int  # harmless requests that were quarantined
 
 
-class _Fleet:
-    def __init__(self, bound: int, own_crash_s: float, seed: int):
-        self.bound, self.own_crash_s = bound, own_crash_s
+class _Simulation:
+    def __init__(self, threshold: int, crash_interval_s: float, seed: int):
+        self.threshold, self.crash_interval_s = threshold, crash_interval_s
         self.rng = random.Random(seed)
         self.running: list[dict[int, int]] = [{} for _ in range(RUNNERS)]
         self.down_until_s = [0.0] * RUNNERS
-        self.seen: collections.Counter[int] = collections.Counter()
-        self.killed: collections.Counter[int] = collections.Counter()
-        self.held: set[int] = set()
+        self.crash_counts: collections.Counter[int] = collections.Counter()
+        self.crashes_caused: collections.Counter[int] = collections.Counter()
+        self.quarantined: set[int] = set()
         self.asked = self.crashes = self.count = 0
         self.events: list[tuple] = []
 
@@ -50,82 +50,99 @@
         heapq.heappush(self.events, (at_s, self.count, *event))
 
     def play(self) -> Result:
-        self.at(0.0, 'ask')
-        self.at(self.own_crash_s, 'own')
+        self.at(0.0, 'arrival')
+        self.at(self.crash_interval_s, 'crash')
         while self.events:
             now_s, _, kind, *rest = heapq.heappop(self.events)
             if now_s > SPAN_S:
                 break
             getattr(self, f'on_{kind}')(now_s, *rest)
-        innocent = sum(key >= KILLERS for key in self.held)
-        by_killers = sum(self.killed.values())
-        most = max(self.killed.values(), default=0)
-        return Result(self.asked, self.crashes, by_killers, most, innocent)
+        harmless = sum(key >= CRASHING_REQUESTS for key in self.quarantined)
+        by_requests = sum(self.crashes_caused.values())
+        most = max(self.crashes_caused.values(), default=0)
+        return Result(self.asked, self.crashes, by_requests, most, harmless)
 
-    def on_ask(self, now_s: float) -> None:
+    def on_arrival(self, now_s: float) -> None:
         self.asked += 1
-        key = KILLERS + self.asked
-        if self.rng.random() < 1 / ONE_IN:
-            key = self.rng.randrange(KILLERS)
-        self.send(now_s, key, TRIES, CALLS)
-        self.at(now_s + self.rng.expovariate(PER_S), 'ask')
+        key = CRASHING_REQUESTS + self.asked
+        if self.rng.random() < 1 / CRASHING_ONE_IN:
+            key = self.rng.randrange(CRASHING_REQUESTS)
+        self.send(now_s, key, MAX_ATTEMPTS, MAX_CALLS)
+        self.at(now_s + self.rng.expovariate(REQUESTS_PER_S), 'arrival')
 
-    def on_own(self, now_s: float) -> None:
+    def on_crash(self, now_s: float) -> None:
         up = [n for n in range(RUNNERS) if self.down_until_s[n] <= now_s]
         self.crash(now_s, self.rng.choice(up))
-        self.at(now_s + self.own_crash_s, 'own')
+        self.at(now_s + self.crash_interval_s, 'crash')
 
-    def send(self, now_s: float, key: int, tries: int, calls: int) -> None:
-        """Give a request to the least busy runner, unless it is held."""
+    def send(
+        self, now_s: float, key: int, attempts_left: int, calls_left: int
+    ) -> None:
+        """Send a request to the least busy runner unless quarantined."""
         up = [n for n in range(RUNNERS) if self.down_until_s[n] <= now_s]
-        if key in self.held or not up:
+        if key in self.quarantined or not up:
             return
-        place = min(
+        runner = min(
             up, key=lambda n: (len(self.running[n]), self.rng.random())
         )
-        life = self.down_until_s[place]
-        self.running[place][key] = (tries, calls)
-        if key < KILLERS:
-            self.killed[key] += 1
-            self.crash(now_s, place)
+        down_until_s = self.down_until_s[runner]
+        self.running[runner][key] = (attempts_left, calls_left)
+        if key < CRASHING_REQUESTS:
+            self.crashes_caused[key] += 1
+            self.crash(now_s, runner)
         else:
             span_s = RUN_S * (0.5 + self.rng.random())
-            self.at(now_s + span_s, 'end', place, life, key)
+            self.at(now_s + span_s, 'end', runner, down_until_s, key)
 
-    def on_end(self, now_s: float, place: int, life: float, key: int) -> None:
-        if self.down_until_s[place] == life:
-            self.running[place].pop(key, None)
-            self.seen.pop(key, None)
+    def on_end(
+        self, now_s: float, runner: int, down_until_s: float, key: int
+    ) -> None:
+        if self.down_until_s[runner] == down_until_s:
+            self.running[runner].pop(key, None)
+            self.crash_counts.pop(key, None)
 
-    def crash(self, now_s: float, place: int) -> None:
+    def crash(self, now_s: float, runner: int) -> None:
         self.crashes += 1
-        self.down_until_s[place] = now_s + BACK_S
-        broken, self.running[place] = self.running[place], {}
-        for key, (tries, calls) in broken.items():
-            self.seen[key] += 1
-            if self.seen[key] >= self.bound:
-                self.held.add(key)
-            if tries > 1:
-                self.at(now_s + 0.01, 'again', key, tries - 1, calls)
-            elif calls > 1:
-                self.at(now_s + AGAIN_S, 'again', key, TRIES, calls - 1)
-
-    def on_again(self, now_s: float, key: int, tries: int, calls: int) -> None:
-        self.send(now_s, key, tries, calls)
+        self.down_until_s[runner] = now_s + DOWN_S
+        lost, self.running[runner] = self.running[runner], {}
+        for key, (attempts_left, calls_left) in lost.items():
+            self.crash_counts[key] += 1
+            if self.crash_counts[key] >= self.threshold:
+                self.quarantined.add(key)
+            if attempts_left > 1:
+                self.at(
+                    now_s + 0.01, 'retry', key, attempts_left - 1, calls_left
+                )
+            elif calls_left > 1:
+                self.at(
+                    now_s + CALL_AGAIN_S,
+                    'retry',
+                    key,
+                    MAX_ATTEMPTS,
+                    calls_left - 1,
+                )
+
+    def on_retry(
+        self, now_s: float, key: int, attempts_left: int, calls_left: int
+    ) -> None:
+        self.send(now_s, key, attempts_left, calls_left)
 
 
 def main() -> None:
-    """Print a row for each bound, without and with other crashes."""
-    for own_crash_s in (SPAN_S, 5.0):
-        print(f'a runner crashes by itself each {own_crash_s:g} s')
-        for bound in BOUNDS:
-            found = [_Fleet(bound, own_crash_s, n).play() for n in range(5)]
-            total = Result(*(sum(each) for each in zip(*found)))
-            worst = max(each.most_of_one for each in found)
+    """Print a row for each threshold, without and with other crashes."""
+    for crash_interval_s in (SPAN_S, 5.0):
+        print(f'a runner crashes by itself every {crash_interval_s:g} s')
+        for threshold in THRESHOLDS:
+            results = [
+                _Simulation(threshold, crash_interval_s, n).play()
+                for n in range(5)
+            ]
+            total = Result(*(sum(each) for each in zip(*results)))
+            most = max(each.most_by_one for each in results)
             print(
-                f'  held at {bound}: {total.asked} asked,'
-                f' {total.crashes} crashes, {total.by_killers} by killers'
-                f' (most of one {worst}), {total.held} innocent held back'
+                f'  quarantined at {threshold}: {total.asked} asked,'
+                f' {total.crashes} crashes, {total.by_requests} by requests'
+                f' (most by one {most}), {total.quarantined} harmless'
             )
 
 
--- a/bench/relays.py
+++ b/bench/relays.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""A cheap source of streams, and the relays that we compare with.
+"""A source of streams, and relays to compare the gateway and agent with.
 
-``source``: a bare server that streams chat chunks, a fixed time apart.
-``bare``: one receive and one send a chunk on trio sockets, nothing parsed:
-the floor. ``quart``: one hop with quart on hypercorn and httpx.
+``source``: a minimal server that streams chat chunks at a fixed interval.
+``bare``: one receive and one send per chunk on trio sockets without parsing,
+as a lower bound. ``quart``: one hop with quart on hypercorn and httpx.
 """
 
 import sys
@@ -29,7 +29,7 @@
 
 
 def split(address: str) -> tuple[str, int]:
-    """Return host and port of IP:PORT."""
+    """Return host and port of an address IP:PORT."""
     host, _, port = address.rpartition(':')
     return host, int(port)
 
@@ -102,7 +102,7 @@
 
 
 async def one_hop(address: str, upstream: str) -> None:
-    """Relay streams with the house's HTTP libraries, one hop."""
+    """Relay streams over one hop with common HTTP libraries."""
     app = quart_trio.QuartTrio('relay')
     limits = httpx.Limits(max_connections=None)
     client = httpx.AsyncClient(timeout=None, limits=limits)
@@ -130,7 +130,7 @@
 
 
 def main() -> None:
-    """Run one of them until it is ended."""
+    """Run one of the servers until killed."""
     kind, address, *rest = sys.argv[1:]
     if kind == 'source':
         trio.run(source, address, float(rest[0]), int(rest[1]))
--- a/bench/shifts.py
+++ b/bench/shifts.py
@@ -1,13 +1,13 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Policies for expert maps while demand shifts and copies take time.
-
-Plays the product's own planning (`demand`, `mapplans`) on invented demand:
-a few experts get most choices, and every few seconds part of the experts
-change places in that order. A change is in use once the rank with the most
-new experts has copied them, one after the other, and the orders are through.
-Leaves out: passes, requests, faults. Prints how many times the mean the most
-loaded rank has, over time, with the standard error over seeds.
+"""Compares expert map policies when demand shifts and copies take time.
+
+Runs the planning of the product (`demand`, `mapplans`) on synthetic demand: a
+few experts get most choices, and every few seconds some of the experts swap
+their ranks in popularity. A change is in use once the rank with the most new
+experts has copied them one by one and the orders have been delivered. Not
+modelled: forward passes, requests, faults. Prints the load of the most loaded
+rank relative to the mean, over time, with the standard error over seeds.
 ``python -m bench.shifts --help``.
 """
 
@@ -20,29 +20,29 @@
 
 from mountridge.experts import demand, mapplans, maps
 
-#: Between two looks at the group.
+#: Time step of the simulation.
 STEP_S = 0.02
-#: From the end of the copies to the first pass with the new map.
+#: From the end of the copies to the first forward pass with the new map.
 ORDERS_S = 0.25
-#: Least time between the end of a change and the next look for a plan.
+#: Minimum interval between two searches for a plan.
 PAUSE_S = 0.05
-#: Time constant of the counts of the policy that does not tell shifts.
+#: Time constant of the decaying counts.
 COUNTS_S = 0.6
-#: Part of a report's choices that single prompts bring, whatever is liked.
-OWN_PART = 0.2
+#: Share of a report's choices that are due to single prompts.
+PROMPT_SHARE = 0.2
 CHOICES = 20000
-#: The experts' shares fall by their place in the order to this power.
+#: Exponent of the power law of experts' popularity.
 ZIPF = 1.3
 
 
 class Deployment(typing.NamedTuple):
-    """A group, and how its demand shifts."""
+    """A group of ranks, and how its demand shifts."""
 
     ranks: int
     sets: int
-    sheet: mapplans.EngineParameters
+    parameters: mapplans.EngineParameters
     shift_s: float
-    share: float  # of the experts that change places in a shift
+    shift_share: float  # of experts that swap their positions in a shift
 
 
 DEPLOYMENTS = {
@@ -56,218 +56,244 @@
 
 
 class Plan(typing.NamedTuple):
-    """A map on its way, and when it is in use."""
+    """A map that is being copied, and when it comes into use."""
 
-    placed: mapplans.Placement
-    from_s: float
+    placement: mapplans.Placement
+    in_use_s: float
 
 
-class World:
-    """Demand, the map in use, and the one that is being copied."""
+class Simulation:
+    """A group with its demand, the map in use, and a pending change."""
 
-    def __init__(self, made: Deployment, seed: int):
-        self.made = made
+    def __init__(self, deployment: Deployment, seed: int):
+        self.deployment = deployment
         self.rng = random.Random(seed)
-        experts, ranks = made.sheet.experts, made.ranks
-        self.placed = [
+        experts, ranks = deployment.parameters.experts, deployment.ranks
+        self.placement = [
             [list(range(rank, experts, ranks)) for rank in range(ranks)]
-            for _ in range(made.sets)
+            for _ in range(deployment.sets)
         ]
         self.order = [
-            self.rng.sample(range(experts), experts) for _ in range(made.sets)
+            self.rng.sample(range(experts), experts)
+            for _ in range(deployment.sets)
         ]
-        self.coming: Plan | None = None
-        #: Part of the choices of each expert, set by set.
-        self.likes = self._likes()
-        #: The likes of the time since the last report, added up.
-        self._since = [0.0] * len(self.likes)
+        self.pending: Plan | None = None
+        #: Share of the choices by expert, set by set.
+        self.popularity = self._compute_popularity()
+        #: Sum of the popularity over the steps since the last report.
+        self._since = [0.0] * len(self.popularity)
         self._skew: float | None = None
         self.next_plan_s = 0.0
 
-    def _likes(self) -> list[float]:
-        found = []
+    def _compute_popularity(self) -> list[float]:
+        results = []
         for order in self.order:
-            likes = [0.0] * len(order)
-            for place, expert in enumerate(order):
-                likes[expert] = 1 / (1 + place) ** ZIPF
-            found += [like / sum(likes) for like in likes]
-        return found
+            popularity = [0.0] * len(order)
+            for position, expert in enumerate(order):
+                popularity[expert] = 1 / (1 + position) ** ZIPF
+            results += [value / sum(popularity) for value in popularity]
+        return results
 
     def shift(self) -> None:
-        """Let some experts change places in the order."""
+        """Let some experts swap their positions in the order."""
         for order in self.order:
-            count = round(self.made.share * len(order))
-            places = self.rng.sample(range(len(order)), count)
-            moved = [order[place] for place in places]
+            count = round(self.deployment.shift_share * len(order))
+            positions = self.rng.sample(range(len(order)), count)
+            moved = [order[position] for position in positions]
             self.rng.shuffle(moved)
-            for place, expert in zip(places, moved):
-                order[place] = expert
-        self.likes = self._likes()
+            for position, expert in zip(positions, moved):
+                order[position] = expert
+        self.popularity = self._compute_popularity()
         self._skew = None
 
-    def use(self, placed: mapplans.Placement) -> None:
-        """Take a map into use."""
-        self.placed, self.coming = placed, None
+    def use(self, placement: mapplans.Placement) -> None:
+        """Put a map into use."""
+        self.placement, self.pending = placement, None
         self._skew = None
 
-    def tick(self) -> None:
-        """Let requests choose experts for one step."""
-        self._since = [a + b for a, b in zip(self._since, self.likes)]
+    def record_step(self) -> None:
+        """Accumulate the choices of one time step."""
+        self._since = [a + b for a, b in zip(self._since, self.popularity)]
 
     def report(self) -> list[float]:
-        """Return the choices since the last report, with what chance adds."""
+        """Return the choices since the last report, with random noise."""
         counts = []
         steps = demand.SPAN_S / STEP_S
-        for like in self._since:
-            own = self.rng.expovariate(self.made.sheet.experts)
-            part = (1 - OWN_PART) * like / steps + OWN_PART * own
-            counts.append(CHOICES * part)
-        self._since = [0.0] * len(self.likes)
+        for value in self._since:
+            by_prompt = self.rng.expovariate(
+                self.deployment.parameters.experts
+            )
+            share = (
+                1 - PROMPT_SHARE
+            ) * value / steps + PROMPT_SHARE * by_prompt
+            counts.append(CHOICES * share)
+        self._since = [0.0] * len(self.popularity)
         return counts
 
     def skew(self) -> float:
-        """Return the most loaded rank over the mean, over all sets."""
+        """Return the ratio of the most loaded rank to the mean, over sets."""
         if self._skew is None:
-            self._skew = self._most_loaded()
+            self._skew = self._compute_skew()
         return self._skew
 
-    def _most_loaded(self) -> float:
-        experts = self.made.sheet.experts
-        found = []
-        for number, by_rank in enumerate(self.placed):
-            load = self.likes[number * experts : (number + 1) * experts]
-            found.append(max(maps.rank_loads(by_rank, load)))
-        return self.made.ranks * statistics.mean(found)
-
-    def begin(self, counts: list[float], sheet, now_s: float) -> None:
-        """Plan from counts, and begin to copy where that pays."""
-        if self.coming is None and now_s < self.next_plan_s:
+    def _compute_skew(self) -> float:
+        experts = self.deployment.parameters.experts
+        results = []
+        for number, by_rank in enumerate(self.placement):
+            load = self.popularity[number * experts : (number + 1) * experts]
+            results.append(max(maps.rank_loads(by_rank, load)))
+        return self.deployment.ranks * statistics.mean(results)
+
+    def start_change(
+        self, counts: list[float], parameters, now_s: float
+    ) -> None:
+        """Plan from counts, and start copying if a change is worth it."""
+        if self.pending is None and now_s < self.next_plan_s:
             return
         self.next_plan_s = now_s + PAUSE_S
-        paces = [1.0] * self.made.ranks
-        planned = mapplans.plan(self.placed, counts, paces, sheet)
+        slowdowns = [1.0] * self.deployment.ranks
+        planned = mapplans.plan(self.placement, counts, slowdowns, parameters)
         if planned is None:
             return
         new = [
             sum(
                 len(set(after[rank]) - set(before[rank]))
-                for before, after in zip(self.placed, planned.placement)
+                for before, after in zip(self.placement, planned.placement)
             )
-            for rank in range(self.made.ranks)
+            for rank in range(self.deployment.ranks)
         ]
-        copied_s = max(new) * self.made.sheet.copy_s
-        self.coming = Plan(planned.placement, now_s + copied_s + ORDERS_S)
+        copied_s = max(new) * self.deployment.parameters.copy_s
+        self.pending = Plan(planned.placement, now_s + copied_s + ORDERS_S)
 
 
-#: Plans where it wants to: the world, a report or None, whether demand has
-#: just shifted, and the present time.
-Policy = typing.Callable[[World, list[float] | None, bool, float], None]
+#: Starts changes; gets the simulation, a report or None, whether demand has
+#: just shifted, and the current time.
+Policy = typing.Callable[[Simulation, list[float] | None, bool, float], None]
 
 
-def never(world: World, counts, shifted: bool, now_s: float) -> None:
+def keep_first(
+    simulation: Simulation, counts, shifted: bool, now_s: float
+) -> None:
     """Keep the first map."""
 
 
-def oracle(world: World, counts, shifted: bool, now_s: float) -> None:
-    """Know demand at once, and copy as today."""
-    if shifted or world.coming is None:
-        world.begin(world.likes, world.made.sheet, now_s)
+def oracle(
+    simulation: Simulation, counts, shifted: bool, now_s: float
+) -> None:
+    """Plan from the true demand as soon as it shifts."""
+    if shifted or simulation.pending is None:
+        simulation.start_change(
+            simulation.popularity, simulation.deployment.parameters, now_s
+        )
 
 
 def decaying(bounded: bool) -> Policy:
-    """Plan from counts that decay; bounded by the time of copies or not."""
+    """Plan from decaying counts, optionally with bounded copy time."""
     mean: list[float] = []
 
-    def policy(world: World, counts, shifted: bool, now_s: float) -> None:
+    def policy(
+        simulation: Simulation, counts, shifted: bool, now_s: float
+    ) -> None:
         if counts is not None:
             kept = 1 - demand.SPAN_S / COUNTS_S
             mean[:] = [
                 kept * old + new
                 for old, new in zip(mean or [0.0] * len(counts), counts)
             ]
-        if world.coming is None and mean:
-            sheet = world.made.sheet
-            sheet = sheet if bounded else sheet._replace(copy_s=0.0)
-            world.begin(mean, sheet, now_s)
+        if simulation.pending is None and mean:
+            parameters = simulation.deployment.parameters
+            parameters = (
+                parameters if bounded else parameters._replace(copy_s=0.0)
+            )
+            simulation.start_change(mean, parameters, now_s)
 
     return policy
 
 
-def telling(waits: bool) -> Policy:
-    """Tell shifts of demand; plan at once, or as the product does.
+def detecting(waits: bool) -> Policy:
+    """Detect demand shifts; plan at once, or wait as the product does.
 
-    The product waits for counts that hold nothing of before the shift.
+    The product waits until counts contain nothing from before the shift.
     """
     known = demand.Demand()
     outdated = [False]
 
-    def policy(world: World, counts, shifted: bool, now_s: float) -> None:
+    def policy(
+        simulation: Simulation, counts, shifted: bool, now_s: float
+    ) -> None:
         if counts is not None:
             choices = demand.pack([round(count) for count in counts])
             outdated[0] |= known.record(choices, now_s)
         if not (known.is_settled if waits else known.mean):
             return
-        copying = world.coming and now_s < world.coming.from_s - ORDERS_S
-        if world.coming is None or (outdated[0] and copying):
+        copying = (
+            simulation.pending
+            and now_s < simulation.pending.in_use_s - ORDERS_S
+        )
+        if simulation.pending is None or (outdated[0] and copying):
             outdated[0] = False
-            world.begin(known.mean, world.made.sheet, now_s)
+            simulation.start_change(
+                known.mean, simulation.deployment.parameters, now_s
+            )
 
     return policy
 
 
 POLICIES: dict[str, typing.Callable[[], Policy]] = {
-    'never move': lambda: never,
+    'never move': lambda: keep_first,
     'decaying counts, any number of copies': lambda: decaying(False),
     'decaying counts, copies bounded': lambda: decaying(True),
-    'shifts told, planned at once': lambda: telling(False),
-    'today: shifts told, counts of after': lambda: telling(True),
+    'shifts detected, planned at once': lambda: detecting(False),
+    'current: shifts detected, counts since': lambda: detecting(True),
     'demand known at once': lambda: oracle,
 }
 
 
-def play(made: Deployment, policy: Policy, seed: int, span_s: float):
-    """Return the mean skew, and the part of the time with over twice."""
-    world = World(made, seed)
+def simulate(deployment: Deployment, policy: Policy, seed: int, span_s: float):
+    """Return the mean skew, and the share of time with a skew above 2."""
+    simulation = Simulation(deployment, seed)
     skews = []
-    now_s, shift_s = 0.0, made.shift_s
-    report_s = world.rng.random() * demand.SPAN_S
+    now_s, shift_s = 0.0, deployment.shift_s
+    report_s = simulation.rng.random() * demand.SPAN_S
     while now_s < span_s:
         shifted = now_s >= shift_s
         if shifted:
-            world.shift()
-            shift_s += made.shift_s
-        if world.coming and now_s >= world.coming.from_s:
-            world.use(world.coming.placed)
-        world.tick()
+            simulation.shift()
+            shift_s += deployment.shift_s
+        if simulation.pending and now_s >= simulation.pending.in_use_s:
+            simulation.use(simulation.pending.placement)
+        simulation.record_step()
         counts = None
         if now_s >= report_s:
-            counts = world.report()
+            counts = simulation.report()
             report_s += demand.SPAN_S
-        policy(world, counts, shifted, now_s)
-        skews.append(world.skew())
+        policy(simulation, counts, shifted, now_s)
+        skews.append(simulation.skew())
         now_s += STEP_S
     return statistics.mean(skews), sum(s > 2 for s in skews) / len(skews)
 
 
-def _error(values: list[float]) -> float:
+def _std_error(values: list[float]) -> float:
     return statistics.stdev(values) / len(values) ** 0.5
 
 
 @click.command()
-@click.option('--seeds', default=6, help='Plays of each policy.')
-@click.option('--span-s', default=20.0, help='Length of a play.')
+@click.option('--seeds', default=6, help='Simulations of each policy.')
+@click.option('--span-s', default=20.0, help='Duration of a simulation.')
 def main(seeds: int, span_s: float) -> None:
     """Print the table of policies, on each deployment."""
     rows = []
-    for title, made in DEPLOYMENTS.items():
+    for title, deployment in DEPLOYMENTS.items():
         for name, make in POLICIES.items():
-            found = [play(made, make(), s, span_s) for s in range(seeds)]
-            skews = [skew for skew, _ in found]
-            parts = [part for _, part in found]
+            results = [
+                simulate(deployment, make(), s, span_s) for s in range(seeds)
+            ]
+            skews = [skew for skew, _ in results]
+            shares = [share for _, share in results]
             rows.append(
                 [
-                    title, name, statistics.mean(skews), _error(skews),
-                    statistics.mean(parts), _error(parts),
+                    title, name, statistics.mean(skews), _std_error(skews),
+                    statistics.mean(shares), _std_error(shares),
                 ]  # fmt: skip
             )
     head = ['deployment', 'policy', 'skew', '+-', 'time over 2', '+-']
--- a/bench/state.py
+++ b/bench/state.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Memory and snapshot time of the state machine, and idle processes.
+"""Memory and snapshot size of the state machine, and cost of idle processes.
 
-Each size in a process of its own. ``make slopes``.
+Measures each size in a separate process. ``make slopes``.
 """
 
 import os
@@ -71,15 +71,15 @@
 }
 
 
-def _one(kind: str, count: int) -> None:
+def _measure(kind: str, count: int) -> None:
     before = path.rss_mb(os.getpid())
-    kept = FILLS[kind][0](count)
+    snapshot = FILLS[kind][0](count)
     after = path.rss_mb(os.getpid())
-    print(after - before, len(kept) / 2**20)
+    print(after - before, len(snapshot) / 2**20)
 
 
 def slopes() -> None:
-    """Print memory by size, with the fit."""
+    """Print memory and snapshot size by count, with the linear fit."""
     for kind, (_, counts) in FILLS.items():
         rows = []
         for count in counts:
@@ -96,12 +96,12 @@
 
 
 def idle() -> None:
-    """Print what each process uses with no requests."""
-    with demo.build(tempfile.mkdtemp()) as made:
-        made.put_table(demo.SHEET.read_text())
-        made.wait_ready('g1', 2)
-        names = [n for n in made.processes if not n.startswith('r')]
-        pids = {name: made.processes[name].pid for name in names}
+    """Print CPU and memory of each process without requests."""
+    with demo.build(tempfile.mkdtemp()) as system:
+        system.put_table(demo.SHEET.read_text())
+        system.wait_ready('g1', 2)
+        names = [n for n in system.processes if not n.startswith('r')]
+        pids = {name: system.processes[name].pid for name in names}
         time.sleep(2)
         before = {name: path.cpu_s(pid) for name, pid in pids.items()}
         time.sleep(IDLE_S)
@@ -118,9 +118,9 @@
 
 
 def main() -> None:
-    """Run one size, or all."""
+    """Measure one size, or all."""
     if len(sys.argv) == 3:
-        _one(sys.argv[1], int(sys.argv[2]))
+        _measure(sys.argv[1], int(sys.argv[2]))
         return
     slopes()
     idle()
