--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -142,7 +142,8 @@
             print(
                 f'  quarantined at {threshold}: {total.asked} asked,'
                 f' {total.crashes} crashes, {total.by_requests} by requests'
-                f' (most by one {most}), {total.quarantined} harmless'
+                f' (most by one {most}),'
+                f' {total.quarantined} harmless quarantined'
             )
 
 
