--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on the fault soak: its plans, its checks, and one short run."""
+"""Steps for the soak test: its plans, its rules, and one short run."""
 
 import json
 import pathlib
@@ -23,46 +23,46 @@
 NOW_S = 1000.0
 
 
-@then('the plans of seeds 1, 1 and 2 are the same, the same and another')
+@then('seed 1 gives the same plan twice, and seed 2 a different one')
 def check_plans(context):
     first, again, other = (schedule.draw(n, SIZES, 120) for n in (1, 1, 2))
     assert first == again
     assert first.faults != other.faults and first.orders != other.orders
 
 
-@when('seed {seed:d} is played for half a minute on a few processes')
-def play(context, seed):
+@when('seed {seed:d} is run for half a minute on a few processes')
+def run_soak(context, seed):
     context.folder = tempfile.mkdtemp()
     command = [sys.executable, '-m', 'tools.soak', 'run', '--seed', str(seed)]
     command += ['--minutes', '0.5', '--sizes', str(HERE / 'short.yaml')]
     command += ['--out', context.folder]
-    context.done = subprocess.run(
+    context.completed = subprocess.run(
         command, capture_output=True, text=True, timeout=120
     )
 
 
-@then('no rule is broken, and these were checked')
+@then('no rule is broken, and these rules were checked')
 def check_run(context):
-    assert context.done.returncode == 0, context.done.stderr[-3000:]
-    verdict = json.loads(context.done.stdout)
+    assert context.completed.returncode == 0, context.completed.stderr[-3000:]
+    verdict = json.loads(context.completed.stdout)
     rules = {row['rule'] for row in context.table}
     assert rules <= set(verdict['checked']), verdict
 
 
-@then('no process of the run is left')
-def check_left(context):
-    found = []
+@then('no process of the run remains')
+def check_no_processes_remain(context):
+    remaining = []
     for each in pathlib.Path('/proc').glob('[0-9]*/cmdline'):
         try:
             if context.folder.encode() in each.read_bytes():
-                found.append(each.parent.name)
+                remaining.append(each.parent.name)
         except OSError:
-            continue  # it has ended meanwhile
-    assert not found, found
+            continue  # it has ended in the meantime
+    assert not remaining, remaining
 
 
 @given('a checker that knows of a request to "entry-1"')
-def make_watch(context):
+def make_checker(context):
     folder = pathlib.Path(tempfile.mkdtemp())
     report.trio = types.SimpleNamespace(current_time=lambda: NOW_S)
     context.add_cleanup(setattr, report, 'trio', trio)
@@ -71,7 +71,7 @@
     sizes = {**SIZES, 'cold_per_s': 2}
     context.checker = checks.Checker(sizes, context.report)
     context.checker.run_counts.append({})
-    context.request = _ask(context, ORDER, 'order-1')
+    context.request = _record_sent(context, ORDER, 'order-1')
     context.runner = types.SimpleNamespace(
         name='p-1',
         hall='north',
@@ -81,15 +81,15 @@
     )
 
 
-def _ask(context, kind, request_id):
+def _record_sent(context, kind, request_id):
     asked = checks.SentRequest(request_id, kind, 'entry-1', NOW_S)
     context.checker.sent_requests[request_id] = asked
     return asked
 
 
-def _answer(context, status, body=b'{}', whole=True):
-    named = {b'x-request-id': b'order-1'}
-    answer = checks.Answer(status, named, body, whole, False)
+def _answer(context, status, body=b'{}', is_whole=True):
+    headers = {b'x-request-id': b'order-1'}
+    answer = checks.Answer(status, headers, body, is_whole, False)
     context.checker.record_answer(context.request, answer, NOW_S)
 
 
@@ -97,107 +97,107 @@
     context.checker.record_arrival(request_id, context.runner, NOW_S)
 
 
-@when('it ran and is answered 503')
-def run_and_refuse(context):
+@when('it has run and is answered with 503')
+def answer_503_after_run(context):
     context.checker.run_counts[0][b'order-1'] = 1
     _answer(context, 503)
 
 
-@when('it ran twice')
+@when('it has run twice')
 def run_twice(context):
     context.checker.run_counts[0][b'order-1'] = 2
     context.checker.sweep(NOW_S, 0, [])
 
 
-@when('it is answered 200 with the path of another')
-def answer_other(context):
+@when('it is answered with 200 and the path of another request')
+def answer_with_other_path(context):
     _answer(context, 200, b'{"path": "/order/order-2"}')
 
 
-@when('a request that nobody sent arrives')
-def arrive_unasked(context):
+@when('a request that no caller sent arrives')
+def arrive_unknown(context):
     _arrive(context, b'order-9')
 
 
-@when('it is answered 404')
-def deny(context):
+@when('it is answered with 404')
+def answer_404(context):
     _answer(context, 404)
 
 
-@when("it arrives {over_s:d} s after its runner's hall was taken out")
-def arrive_out(context, over_s):
+@when("it arrives {over_s:d} s after the hall of its runner was drained")
+def arrive_at_drained_hall(context, over_s):
     context.checker.out_of_service_s['north'] = NOW_S - over_s
     _arrive(context)
 
 
-@when('9 of its kind arrive at a cold runner that bears 2')
-def arrive_cold(context):
+@when('9 safe requests arrive at a cold runner limited to 2 per second')
+def arrive_at_cold_runner(context):
     context.runner.cold_until_s = NOW_S + 1
     for number in range(9):
-        _ask(context, READ, f'read-{number}')
+        _record_sent(context, READ, f'read-{number}')
         _arrive(context, b'read-%d' % number)
 
 
 @when('it arrives 40 times')
-def arrive_often(context):
+def arrive_repeatedly(context):
     for _ in range(40):
         _arrive(context)
     context.checker.sweep(NOW_S, 0, [])
 
 
-@when('version 2 is read where 3 was acknowledged')
+@when('version 2 is read after 3 was acknowledged')
 def read_older(context):
     context.checker.record_read(3, 2, b'')
 
 
-@when('version 2 is read twice with other contents')
-def read_other(context):
+@when('version 2 is read twice with different contents')
+def read_different_contents(context):
     context.checker.record_read(2, 2, b'a')
     context.checker.record_read(2, 2, b'b')
 
 
-@when('its entry serves version 3 and then has it no more')
-def go_back(context):
+@when('its entry serves version 3 and later does not')
+def lose_version(context):
     context.checker.sent_version = 3
     context.checker.record_probe('entry-1', 1, 3, True)
     context.checker.record_probe('entry-1', 1, 3, False)
 
 
-@when('its entry stops, and it is cut after it arrived')
-def stop_and_cut(context):
+@when('its entry stops, and its answer is cut after it arrived')
+def cut_answer_during_stop(context):
     context.checker.stop_requested_s['entry-1'] = NOW_S - 1
     _arrive(context)
-    _answer(context, 0, whole=False)
+    _answer(context, 0, is_whole=False)
 
 
-@when('3 of its kind arrive 1 s after a rest of 3 s was asked for')
-def arrive_in_rest(context):
+@when('3 safe requests arrive 1 s into a backoff of 3 s')
+def arrive_during_backoff(context):
     context.runner.backoff_s = 3.0
     context.checker.record_announcement(b'order-1', context.runner, NOW_S - 1)
     for number in range(3):
-        _ask(context, READ, f'read-{number}')
+        _record_sent(context, READ, f'read-{number}')
         _arrive(context, b'read-%d' % number)
 
 
-@when('one arrives 3 s after its runner said that it leaves')
-def arrive_leaving(context):
+@when('it arrives 3 s after its runner announced that it leaves')
+def arrive_at_leaving_runner(context):
     context.checker.record_announcement(b'order-1', context.runner, NOW_S - 3)
     _arrive(context)
 
 
-@when('it has crashed 3 runners, and 4 more 5 s later')
-def crash_many(context):
+@when('a request crashes 3 runners, and 4 more 5 s later')
+def crash_runners(context):
     context.checker.crashes_s += [NOW_S - 9] * 3 + [NOW_S - 4] * 4
     context.checker.sweep(NOW_S, 0, [])
 
 
-@when('a pass has two maps')
-def mix(context):
+@when('a forward pass runs with two maps')
+def run_pass_with_two_maps(context):
     context.checker.sweep(NOW_S, 1, [])
 
 
-@when('a process ends by itself')
-def end(context):
+@when('a process ends unexpectedly')
+def end_process(context):
     context.checker.sweep(NOW_S, 0, ['entry-1'])
 
 
