--- a/features/house.feature
+++ b/features/house.feature
@@ -1,11 +1,11 @@
-Feature: The product depends on no deployment, day or bench
+Feature: The sources follow the rules for names and imports
 
-  Scenario: No source of the product names one
-    Then no line of the product names a deployment, a day or a bench
+  Scenario: No source of the product names a deployment or a benchmark
+    Then no line of the product names a deployment, one of its days or a benchmark
 
-  Scenario: Packages are imported one way
-    Then no package of the product imports one that stands above it
+  Scenario: Packages only import lower layers
+    Then no package of the product imports one of a higher layer
     And no package imports a program
 
-  Scenario: Each mutant takes out what still stands
-    Then what each mutant replaces stands once in its module
+  Scenario: The snippet of each mutant is unique
+    Then the snippet that each mutant replaces occurs once in its module
--- a/features/steps/house_steps.py
+++ b/features/steps/house_steps.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Steps on what the sources of the product may not name."""
+"""Steps for the rules of names and imports in the sources."""
 
 import ast
 import pathlib
@@ -10,7 +10,7 @@
 
 from tools import mutants
 
-#: Deployments of the users, their days, and the programs that play them.
+#: Deployments of users, their recorded days, and programs replaying them.
 NAMES = re.compile(
     r'\b(ertis|mittelland|siam|swma|lnm|pavlodar|\w*bench|armor|relais'
     r'|rennes|brest|vannes|vatuwaqa|suva|nadi|lautoka)\b'
@@ -19,7 +19,9 @@
 )
 
 
-@then('no line of the product names a deployment, a day or a bench')
+@then(
+    'no line of the product names a deployment, one of its days or a benchmark'
+)
 def check_names(context):
     found = [
         f'{path}:{number}: {line}'
@@ -32,21 +34,21 @@
     assert NAMES.search('on the bench') and NAMES.search('trouble-1')
 
 
-#: The packages from the lowest on; each imports only those before it.
+#: Packages from the lowest layer up; each imports only those before it.
 PACKAGES = (
     'documents', 'experts', 'messages', 'net', 'consensus', 'state',
     'routing', 'groups', 'control', 'dispatch',
 )  # fmt: skip
-#: Modules beside the packages that all may import.
+#: Modules outside the packages that all packages may import.
 BASE = {
     'clocks', 'errors', 'logs', 'metrics', 'settings', 'signals', 'utils',
 }  # fmt: skip
-#: The life of a process stands on the sockets; what is above may import it.
+#: `application` uses the sockets; only packages above them may import it.
 APPLICATION_ABOVE = PACKAGES.index('net')
 
 
 def _imported(path):
-    """Yield the packages and modules of the product that a file imports."""
+    """Yield the product's packages and modules that a file imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             parts = node.module.split('.')
@@ -56,14 +58,14 @@
                 yield parts[1]
 
 
-def _imports_of_packages():
-    for place, package in enumerate(PACKAGES):
+def _package_imports():
+    for layer, package in enumerate(PACKAGES):
         for path in sorted(pathlib.Path('mountridge', package).glob('*.py')):
             for name in _imported(path):
-                yield place, path, name
+                yield layer, path, name
 
 
-@then('no package of the product imports one that stands above it')
+@then('no package of the product imports one of a higher layer')
 def check_layers(context):
     folders = {
         p.parent.name for p in pathlib.Path('mountridge').glob('*/*.py')
@@ -71,8 +73,8 @@
     assert folders == set(PACKAGES), folders
     found = [
         f'{path} imports {name}'
-        for place, path, name in _imports_of_packages()
-        if name in PACKAGES and PACKAGES.index(name) > place
+        for layer, path, name in _package_imports()
+        if name in PACKAGES and PACKAGES.index(name) > layer
     ]
     assert not found, found
 
@@ -81,16 +83,16 @@
 def check_programs(context):
     found = [
         f'{path} imports {name}'
-        for place, path, name in _imports_of_packages()
+        for layer, path, name in _package_imports()
         if name not in PACKAGES
         and name not in BASE
-        and not (name == 'application' and place > APPLICATION_ABOVE)
+        and not (name == 'application' and layer > APPLICATION_ABOVE)
     ]
     assert not found, found
 
 
-@then('what each mutant replaces stands once in its module')
-def check_mutants(context):
+@then('the snippet that each mutant replaces occurs once in its module')
+def check_snippets(context):
     found = []
     for mutant in mutants.MUTANTS:
         text = mutants.path_in(pathlib.Path(), mutant).read_text()
