--- a/bench/control.py
+++ b/bench/control.py
@@ -35,9 +35,9 @@
 def fit(points: list[tuple[float, float]]) -> tuple[float, float, float]:
     """Return slope, intercept and largest residual of a linear fit."""
     xs, ys = zip(*points)
-    slope, start = statistics.linear_regression(xs, ys)
-    worst = max(abs(y - slope * x - start) for x, y in points)
-    return slope, start, worst
+    slope, intercept = statistics.linear_regression(xs, ys)
+    largest = max(abs(y - slope * x - intercept) for x, y in points)
+    return slope, intercept, largest
 
 
 def _with_app(system: cluster.Cluster, measure):
@@ -310,8 +310,10 @@
 
 def print_fit(what: str, rows: list[list], column: int) -> None:
     """Print the linear fit of a column over the first one."""
-    slope, start, worst = fit([(r[0], r[column]) for r in rows])
-    print(f'{what}: {slope:.6f} each + {start:.3f}, residual {worst:.3f}')
+    slope, intercept, largest = fit([(r[0], r[column]) for r in rows])
+    print(
+        f'{what}: {slope:.6f} each + {intercept:.3f}, residual {largest:.3f}'
+    )
 
 
 def main() -> None:
--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -49,7 +49,7 @@
         self.count += 1
         heapq.heappush(self.events, (at_s, self.count, *event))
 
-    def play(self) -> Result:
+    def run(self) -> Result:
         self.at(0.0, 'arrival')
         self.at(self.crash_interval_s, 'crash')
         while self.events:
@@ -134,7 +134,7 @@
         print(f'a runner crashes by itself every {crash_interval_s:g} s')
         for threshold in THRESHOLDS:
             results = [
-                _Simulation(threshold, crash_interval_s, n).play()
+                _Simulation(threshold, crash_interval_s, n).run()
                 for n in range(5)
             ]
             total = Result(*(sum(each) for each in zip(*results)))
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -24,7 +24,7 @@
 @main.command('schedules')
 @click.argument('first', type=int)
 @click.argument('count', type=int)
-def play_schedules(first: int, count: int) -> None:
+def run_schedules(first: int, count: int) -> None:
     """Run random fault schedules on the consensus core, in virtual time."""
     sys.exit(schedules.run(first, count))
 
@@ -36,10 +36,10 @@
 @click.option('--out', help='Keep all logs in this folder.')
 def run(seed: int, minutes: float, sizes: str, out: str | None) -> None:
     """Run one seed on real processes; exits with 1 if a rule was broken."""
-    sys.exit(0 if _play(seed, minutes, sizes, out) else 1)
+    sys.exit(0 if _run_seed(seed, minutes, sizes, out) else 1)
 
 
-def _play(
+def _run_seed(
     seed: int, minutes: float, sizes: str = '', out: str | None = None
 ) -> bool:
     """Run one seed and print the verdict; keep the logs if it failed."""
@@ -48,7 +48,9 @@
         run_sizes.update(yaml.safe_load(pathlib.Path(sizes).read_text()))
     pathlib.Path(out or '.').mkdir(parents=True, exist_ok=True)
     folder = tempfile.mkdtemp(prefix=f'soak-{seed}-', dir=out)
-    verdict = session.play(seed, minutes * 60, run_sizes, pathlib.Path(folder))
+    verdict = session.execute(
+        seed, minutes * 60, run_sizes, pathlib.Path(folder)
+    )
     click.echo(json.dumps(verdict))
     if not verdict['passed']:
         repeat_command = (
@@ -70,13 +72,13 @@
     for entry in yaml.safe_load((HERE / 'seeds.yaml').read_text()):
         click.echo(f'seed {entry["seed"]}: {entry["cause"]}', err=True)
         sizes = str(HERE / entry['sizes']) if 'sizes' in entry else ''
-        failed += not _play(entry['seed'], entry['minutes'], sizes)
+        failed += not _run_seed(entry['seed'], entry['minutes'], sizes)
     sys.exit(1 if failed else 0)
 
 
 @main.command('mutants')
 @click.argument('names', nargs=-1)
-def play_mutants(names: tuple[str, ...]) -> None:
+def run_mutants(names: tuple[str, ...]) -> None:
     """Run mutants of the product that the soak test must detect."""
     sys.exit(mutants.main(names))
 
--- a/tools/soak/mutants.py
+++ b/tools/soak/mutants.py
@@ -54,7 +54,7 @@
 }
 
 
-def _play(seed: int, tree: pathlib.Path, sizes: str) -> dict[str, int]:
+def _run_seed(seed: int, tree: pathlib.Path, sizes: str) -> dict[str, int]:
     """Return the rules broken by a run of the copied tree."""
     command = [sys.executable, '-m', 'tools.soak', 'run', '--out', 'kept']
     command += ['--seed', str(seed), '--minutes', MINUTES]
@@ -76,7 +76,7 @@
         if count != 1:
             return f'snippet found {count} times'
         for seed in SEEDS:
-            broken = _play(seed, tree, expected.sizes)
+            broken = _run_seed(seed, tree, expected.sizes)
             if expected.rule in broken:
                 return f'caught by seed {seed}: {broken}'
     return 'LIVES'
--- a/tools/soak/operators.py
+++ b/tools/soak/operators.py
@@ -123,7 +123,7 @@
 
         Sends one request per version.
         """
-        life, newest = (
+        incarnation, newest = (
             self.system.incarnations[name],
             self.checker.sent_version,
         )
@@ -132,8 +132,13 @@
         for version in range(newest, oldest - 1, -1):
             kind = {**PROBE, 'name': f'at-{version}'}
             status = (await self.caller.ask(kind, front)).status
-            if status in (200, 404) and life == self.system.incarnations[name]:
-                self.checker.record_probe(name, life, version, status == 200)
+            if (
+                status in (200, 404)
+                and incarnation == self.system.incarnations[name]
+            ):
+                self.checker.record_probe(
+                    name, incarnation, version, status == 200
+                )
             if status == 200:
                 return version
         return 0
--- a/tools/soak/report.py
+++ b/tools/soak/report.py
@@ -21,7 +21,7 @@
 
     def __init__(self, folder: pathlib.Path):
         self.folder = folder
-        self.begun_s = trio.current_time()
+        self.started_s = trio.current_time()
         self.checked: collections.Counter[str] = collections.Counter()
         self.broken: collections.Counter[str] = collections.Counter()
         self.done: collections.Counter[str] = collections.Counter()
@@ -29,7 +29,7 @@
 
     def note(self, what: str, **fields: typing.Any) -> None:
         """Write one line on an action or an observation."""
-        at_s = round(trio.current_time() - self.begun_s, 3)
+        at_s = round(trio.current_time() - self.started_s, 3)
         line = {'at_s': at_s, 'what': what, **fields}
         self._events.write(json.dumps(line, default=str) + '\n')
         self.done[fields.get('kind', what)] += 1
@@ -46,7 +46,7 @@
 
     def print_progress(self, text: str) -> None:
         """Print progress on standard error."""
-        at_s = trio.current_time() - self.begun_s
+        at_s = trio.current_time() - self.started_s
         print(f'{at_s:6.1f} s: {text}', file=sys.stderr, flush=True)
 
     def end(self, head: dict) -> dict:
--- a/tools/soak/runners.py
+++ b/tools/soak/runners.py
@@ -144,11 +144,11 @@
     group.shift_demand()
     ranks = engineserver.Ranks(group, rng)
     checker.run_counts.append(ranks.runs)
-    found: list[Runner] = []
+    created: list[Runner] = []
 
     def add(name: str, service: str, host: int, *stand_in) -> None:
         place = (system.hall_of(name), f'{system.host}{host}:{PORT}')
-        found.append(Runner(name, service, *place, stand_in))
+        created.append(Runner(name, service, *place, stand_in))
 
     for n in range(sizes['ranks']):
         add(f'i-{n}', 'llm', 100 + n, ranks.handler(n), ranks.faults[n])
@@ -156,4 +156,4 @@
         plain = engineserver.Plain(n, PLAIN_WORK_S, rng)
         checker.run_counts.append(plain.runs)
         add(f'p-{n}', 'plain', 150 + n, plain.handle, plain.faults)
-    return EmulatedRunners(found, group, ranks)
+    return EmulatedRunners(created, group, ranks)
--- a/tools/soak/session.py
+++ b/tools/soak/session.py
@@ -13,7 +13,7 @@
 from tools.soak import checks, faults, fleet, loads, operators
 from tools.soak import report, runners, schedule
 
-__all__ = ['play']
+__all__ = ['execute']
 
 START_S = 30.0
 #: Delay from the first acknowledged routes to the first callers.
@@ -53,25 +53,25 @@
             with trio.fail_after(START_S):
                 await self.operator.put_first_routes()
             await trio.sleep(SETTLE_S)
-            self.report.begun_s = trio.current_time()
+            self.report.started_s = trio.current_time()
             kinds = self.system.sizes['kinds']
             per_s = sum(k['per_s'] for k in kinds) / len(self.callers[1:])
             for caller in self.callers[1:]:
                 nursery.start_soon(caller.run, kinds, per_s)
             nursery.start_soon(self._check_periodically)
             nursery.start_soon(self._probe)
-            async with trio.open_nursery() as playing:
-                self._play(playing)
+            async with trio.open_nursery() as plan_nursery:
+                self._start_plan(plan_nursery)
             await self._assess_recovery()
             nursery.cancel_scope.cancel()
         counts = dict(zip(('asked', 'served'), self._counts()))
         return self.report.end({'passes': self.emulated.group.step, **counts})
 
-    def _play(self, nursery: trio.Nursery) -> None:
-        async def at(act: typing.Callable, what: typing.Any) -> None:
-            await trio.sleep_until(self.report.begun_s + what.start_s)
-            self.report.note('begin', **what._asdict())
-            await act(what)
+    def _start_plan(self, nursery: trio.Nursery) -> None:
+        async def at(act: typing.Callable, step: typing.Any) -> None:
+            await trio.sleep_until(self.report.started_s + step.start_s)
+            self.report.note('begin', **step._asdict())
+            await act(step)
 
         for fault in self.plan.faults:
             nursery.start_soon(at, self.faults.carry_out, fault)
@@ -80,9 +80,9 @@
 
     async def _assess_recovery(self) -> None:
         """Wait for the system to recover, and measure the service level."""
-        sizes, begun_s = self.system.sizes, self.report.begun_s
+        sizes, started_s = self.system.sizes, self.report.started_s
         quiet_from_s = max(
-            begun_s + self.plan.end_s - sizes['quiet_s'],
+            started_s + self.plan.end_s - sizes['quiet_s'],
             trio.current_time() + sizes['recover_s'],
         )
         await trio.sleep_until(quiet_from_s)
@@ -125,7 +125,9 @@
                 await trio.sleep(CHECK_INTERVAL_S / 2)
 
 
-def play(seed: int, span_s: float, sizes: dict, folder: pathlib.Path) -> dict:
+def execute(
+    seed: int, span_s: float, sizes: dict, folder: pathlib.Path
+) -> dict:
     """Execute one run and return its verdict; its files are in ``folder``."""
     plan = schedule.draw(seed, sizes, span_s)
     plan_json = json.dumps({'sizes': sizes, **plan._asdict()}, indent=1)
