--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -326,7 +326,7 @@
     )
     request = httpserver.Request(b'POST', b'/1', [], b'body')
     exchange = routedexchanges.Exchange(request, None, 0.0)
-    exchange.call = dialects.read_request_head(
+    exchange.request_head = dialects.read_request_head(
         request, dialects.NATIVE.headers
     )
     exchange.events_sent = count
--- a/mountridge/routing/crashwatch.py
+++ b/mountridge/routing/crashwatch.py
@@ -72,7 +72,7 @@
         self._app.metrics.incr('quarantine.crashes')
         logger.info(
             'runner crashed',
-            request=exchange.call.request_id,
+            request=exchange.request_head.request_id,
             runner=runner.instance_id,
             digest=digest.hex(),
             is_held=self._quarantine.is_quarantined(digest, now_s),
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -148,15 +148,15 @@
         problem: errors.MountridgeError | None = None,
     ) -> None:
         now_s = self.app.now_s()
-        call, route = exchange.call, exchange.route
+        head, route = exchange.request_head, exchange.route
         first_s = exchange.first_data_s
         self.app.metrics.timing('request', now_s - exchange.begun_s)
         if first_s is not None:
             self.app.metrics.timing('first_data', first_s - exchange.begun_s)
         logger.info(
             'request',
-            request=call.request_id if call else '',
-            path=call.path if call else '',
+            request=head.request_id if head else '',
+            path=head.path if head else '',
             route=route.name if route else '',
             table=exchange.table_version,
             service=exchange.service,
@@ -166,8 +166,8 @@
             reason=str(problem) if problem else '',
             status=exchange.status or (problem.status if problem else 0),
             **_runner_fields(exchange.picked, now_s),
-            prompt_tokens=call.prompt_tokens if call else 0,
-            output_tokens=call.output_tokens if call else 0,
+            prompt_tokens=head.prompt_tokens if head else 0,
+            output_tokens=head.output_tokens if head else 0,
             tries=exchange.attempts,
             events=exchange.events_sent,
             longest_gap_ms=_to_ms(exchange.longest_gap_s),
@@ -245,7 +245,7 @@
             picked.backend.record_failure(now_s)
         logger.info(
             'attempt failed',
-            request=exchange.call.request_id,
+            request=exchange.request_head.request_id,
             code=problem.code,
             outcome=problem.outcome,
             reason=str(problem),
@@ -309,7 +309,7 @@
                 request.target,
                 self._runner_headers(exchange, backend),
                 request.body,
-                exchange.call.request_id,
+                exchange.request_head.request_id,
                 lambda: self._before_send(backend, send, exchange.deadline_s),
             ) as reply:
                 if reply.head.status == MISDIRECTED:
@@ -412,7 +412,7 @@
         """
         now_s = self.app.now_s()
         fields = {
-            'request': exchange.call.request_id,
+            'request': exchange.request_head.request_id,
             'runner': runner.instance_id,
         }
         if head.backoff_s is not None:
--- a/mountridge/routing/routefilters.py
+++ b/mountridge/routing/routefilters.py
@@ -33,11 +33,11 @@
     """
 
     def parse_request(exchange: Exchange, now_s: float) -> None:
-        call = dialects.read_request_head(exchange.request, names)
-        exchange.call = call
-        if call.last_event_id is not None:
+        head = dialects.read_request_head(exchange.request, names)
+        exchange.request_head = head
+        if head.last_event_id is not None:
             try:
-                exchange.last_event_id = int(call.last_event_id)
+                exchange.last_event_id = int(head.last_event_id)
             except ValueError:
                 exchange.last_event_id = None
 
@@ -46,17 +46,17 @@
         if current is None:
             raise errors.NoRoutes()
         exchange.table_version = current.table.version
-        call = exchange.call
-        exchange.route = current.match(call.host, call.path)
+        head = exchange.request_head
+        exchange.route = current.match(head.host, head.path)
         if exchange.route is None:
-            raise errors.NoRoute(f'{call.host}{call.path}')
+            raise errors.NoRoute(f'{head.host}{head.path}')
         exchange.service = routes.choose_service(exchange.route, rng)
 
     def find_team(exchange: Exchange, now_s: float) -> None:
         current = index()
         if current.table.teams is None or exchange.route.public:
             return
-        exchange.team = current.team(exchange.call.key)
+        exchange.team = current.team(exchange.request_head.key)
         if exchange.team is None:
             raise errors.UnknownKey()
 
@@ -67,7 +67,7 @@
     """Return the quarantine digest of a request, computed once."""
     if not exchange.digest:
         exchange.digest = known.digest(
-            exchange.request, exchange.team, exchange.call.key
+            exchange.request, exchange.team, exchange.request_head.key
         )
     return exchange.digest
 
@@ -91,6 +91,6 @@
 
 def _set_deadline(exchange: Exchange, now_s: float) -> None:
     timeout_ms = exchange.route.timeout_ms
-    if exchange.call.deadline_ms is not None:
-        timeout_ms = min(timeout_ms, exchange.call.deadline_ms)
+    if exchange.request_head.deadline_ms is not None:
+        timeout_ms = min(timeout_ms, exchange.request_head.deadline_ms)
     exchange.deadline_s = exchange.begun_s + timeout_ms / 1000
