--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -163,7 +163,7 @@
 
     async def send(self, name, number, until_s):
         exchange = types.SimpleNamespace(
-            service='s', attempted=set(), begun_s=self.now_s(),
+            service='s', attempted=set(), started_s=self.now_s(),
             deadline_s=until_s,
             team=None, route=types.SimpleNamespace(priority=1),
         )  # fmt: skip
@@ -548,7 +548,7 @@
     def exchange(self, priority=1, tried=()):
         now_s = trio.current_time()
         return types.SimpleNamespace(
-            service='s', attempted=set(tried), begun_s=now_s,
+            service='s', attempted=set(tried), started_s=now_s,
             deadline_s=now_s + 8,
             team=None, route=types.SimpleNamespace(priority=priority),
         )  # fmt: skip
@@ -563,7 +563,7 @@
             outcome = picked.backend.instance.instance_id
         except errors.MountridgeError as problem:
             outcome = problem
-        took_s = trio.current_time() - exchange.begun_s
+        took_s = trio.current_time() - exchange.started_s
         self.outcomes.append((number, round(took_s, 3), outcome))
         return outcome
 
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -150,9 +150,9 @@
         now_s = self.app.now_s()
         head, route = exchange.request_head, exchange.route
         first_s = exchange.first_data_s
-        self.app.metrics.timing('request', now_s - exchange.begun_s)
+        self.app.metrics.timing('request', now_s - exchange.started_s)
         if first_s is not None:
-            self.app.metrics.timing('first_data', first_s - exchange.begun_s)
+            self.app.metrics.timing('first_data', first_s - exchange.started_s)
         logger.info(
             'request',
             request=head.request_id if head else '',
@@ -171,8 +171,8 @@
             tries=exchange.attempts,
             events=exchange.events_sent,
             longest_gap_ms=_to_ms(exchange.longest_gap_s),
-            first_ms=_to_ms(first_s and first_s - exchange.begun_s),
-            took_ms=_to_ms(now_s - exchange.begun_s),
+            first_ms=_to_ms(first_s and first_s - exchange.started_s),
+            took_ms=_to_ms(now_s - exchange.started_s),
         )
 
     # Attempts.
@@ -250,7 +250,7 @@
             outcome=problem.outcome,
             reason=str(problem),
             **_runner_fields(picked, now_s),
-            took_ms=_to_ms(now_s - exchange.begun_s),
+            took_ms=_to_ms(now_s - exchange.started_s),
         )
 
     def _may_retry(
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -208,7 +208,7 @@
         """Return how long a request may wait for a runner from now on."""
         wait_s = RUNNER_WAIT_S
         if self._runners(exchange):
-            wait_s = exchange.begun_s + GROUP_WAIT_S - now_s
+            wait_s = exchange.started_s + GROUP_WAIT_S - now_s
         return min(wait_s, WAIT_FRACTION * (exchange.deadline_s - now_s))
 
     def _is_worth_waiting(self, exchange: Exchange, until_s: float) -> bool:
--- a/mountridge/routing/routedexchanges.py
+++ b/mountridge/routing/routedexchanges.py
@@ -30,7 +30,7 @@
     ):
         self.request = request
         self.responder = responder
-        self.begun_s = now_s
+        self.started_s = now_s
         self.request_head: dialects.RequestHead | None = None
         self.route: routes.Route | None = None
         self.team: routes.Team | None = None
--- a/mountridge/routing/routefilters.py
+++ b/mountridge/routing/routefilters.py
@@ -93,4 +93,4 @@
     timeout_ms = exchange.route.timeout_ms
     if exchange.request_head.deadline_ms is not None:
         timeout_ms = min(timeout_ms, exchange.request_head.deadline_ms)
-    exchange.deadline_s = exchange.begun_s + timeout_ms / 1000
+    exchange.deadline_s = exchange.started_s + timeout_ms / 1000
