--- a/features/worlds/rests.py
+++ b/features/worlds/rests.py
@@ -172,7 +172,7 @@
             if runner.instance.instance_id not in without
         ]
         for gateway in self.gateways.values():
-            gateway.known.update_runners(registered)
+            gateway.backends.update_runners(registered)
 
     def play(self, script: typing.Callable) -> None:
         """Run a script on virtual time while sidecars report."""
@@ -195,7 +195,7 @@
                     self.is_open,
                 )  # fmt: skip
                 for gateway in self.gateways.values():
-                    gateway.known.record_report(load, self.now_s())
+                    gateway.backends.record_report(load, self.now_s())
             await trio.sleep(REPORT_S)
 
     async def ask(
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -79,12 +79,12 @@
         app: application.Application,
         dialect: dialects.Dialect,
         index: typing.Callable[[], routes.Index | None],
-        known: backends.Backends,
+        backends: backends.Backends,
         gateway_count: typing.Callable[[], int],
     ):
         self.app = app
         self.dialect = dialect
-        self.known = known
+        self.backends = backends
         #: Whether this process is shutting down and refuses new requests.
         self.closed = False
         #: Set when the first routes have been loaded.
@@ -100,13 +100,13 @@
             bounds['retry_window_s'],
         )
         self.picker = picking.Picker(
-            app, index, known, gateway_count, self.rng
+            app, index, backends, gateway_count, self.rng
         )
         #: Times at which open requests are cancelled.
         self._cancel_at_s: dict[trio.CancelScope, float] = {}
         self.quarantine = quarantine.Quarantine(app.settings['digest_key'])
         self.crashes = crashwatch.CrashWatch(
-            app, self.quarantine, known.backoffs, self.picker.has_ranks
+            app, self.quarantine, backends.backoffs, self.picker.has_ranks
         )
         self.filters = routefilters.chain(index, dialect.headers, self.rng)
         self.filters.append(routefilters.refuse_quarantined(self.quarantine))
@@ -300,8 +300,8 @@
         exchange.events_before = exchange.events_sent
         exchange.is_in_flight = True
         exchange.attempted.add(backend.instance.instance_id)
-        send = self.known.request_started(backend, self.app.now_s())
-        is_probe = self.known.backoffs.begin_request(backend.instance)
+        send = self.backends.request_started(backend, self.app.now_s())
+        is_probe = self.backends.backoffs.begin_request(backend.instance)
         try:
             async with self.pool.request(
                 backend.instance.address,
@@ -319,7 +319,7 @@
             if not send.is_sent:
                 send.discard()
             if is_probe:
-                self.known.backoffs.end_probe(backend.instance)
+                self.backends.backoffs.end_probe(backend.instance)
             backend.request_ended()
 
     def _before_send(
@@ -340,7 +340,7 @@
         now_s = self.app.now_s()
         if now_s >= until_s:
             raise errors.DeadlinePassed()
-        if not self.known.backoffs.may_send(backend.instance, now_s):
+        if not self.backends.backoffs.may_send(backend.instance, now_s):
             self.app.metrics.incr('rest.held_back')
             raise errors.RunnersResting(
                 'the runner is backing off or leaving since it was selected'
@@ -379,17 +379,17 @@
         if head.status == MISDIRECTED:
             backend.replaced = True
             if self.picker.has_ranks(exchange.service):
-                self.known.record_refusal(backend, now_s)
+                self.backends.record_refusal(backend, now_s)
             raise errors.RunnerReplaced(f'the runner answered {head.status}')
         self._apply_announcements(exchange, backend.instance, head)
         if head.not_run:
             # A backoff concerns this runner alone, not its group.
             is_backoff = head.backoff_s is not None
             if self.picker.has_ranks(exchange.service) and not is_backoff:
-                self.known.record_refusal(backend, now_s)
+                self.backends.record_refusal(backend, now_s)
             raise errors.RunnerRefused(f'the runner answered {head.status}')
         exchange.may_have_run = True
-        self.known.record_acceptance(backend, now_s)
+        self.backends.record_acceptance(backend, now_s)
         await routedanswers.forward(
             exchange,
             reply,
@@ -416,7 +416,7 @@
             'runner': runner.instance_id,
         }
         if head.backoff_s is not None:
-            backoff_until_s = self.known.backoffs.back_off(
+            backoff_until_s = self.backends.backoffs.back_off(
                 runner, head.backoff_s, now_s
             )
             self.app.metrics.incr('rest.asked')
@@ -426,7 +426,7 @@
             logger.info(
                 'runner requested a backoff', **fields, rest_ms=rest_ms
             )
-        if head.is_leaving and self.known.backoffs.mark_leaving(runner):
+        if head.is_leaving and self.backends.backoffs.mark_leaving(runner):
             self.app.metrics.incr('runner.says_leaving')
             state = runner.state
             logger.info(
@@ -447,7 +447,7 @@
         """
         if backend.slowdown < backends.MIGRATE_SLOWDOWN:
             return
-        others = self.known.of_service(exchange.service)
+        others = self.backends.of_service(exchange.service)
         if all(other.slowdown >= backends.AVOID_SLOWDOWN for other in others):
             return
         problem = errors.RunnerSlow(
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -49,11 +49,11 @@
         self,
         app: application.Application,
         index: typing.Callable[[], routes.Index | None],
-        known: backends.Backends,
+        backends: backends.Backends,
         gateways: typing.Callable[[], int],
         rng: random.Random,
     ):
-        self.known = known
+        self.backends = backends
         self._app = app
         self._index = index
         self._gateways = gateways
@@ -74,7 +74,7 @@
         :raises GroupClosed: the groups of all runners stay closed.
         :raises HallsOut: the halls of all runners are out of service.
         """
-        if self.known.warmup.is_limited(exchange.service):
+        if self.backends.warmup.is_limited(exchange.service):
             picked = await self._pick_limited(exchange)
         else:
             picked = await self._pick_unlimited(exchange)
@@ -96,7 +96,7 @@
         with trio.move_on_after(wait_s):
             while picked is None and self._is_worth_waiting(exchange, until_s):
                 with trio.move_on_after(GROUP_CHECK_INTERVAL_S):
-                    await self.known.changed.wait()
+                    await self.backends.changed.wait()
                 picked = self._choose(exchange, self._app.now_s())
         return picked
 
@@ -144,7 +144,7 @@
         while True:
             now_s = self._app.now_s()
             ahead = queue.count_ahead(waiter) if waiter else 0
-            send_s = self.known.earliest_send_s(
+            send_s = self.backends.earliest_send_s(
                 exchange.service, exchange.attempted, ahead, now_s
             )
             if send_s != warmup.NEVER and send_s > until_s:
@@ -169,7 +169,7 @@
             )
             wait_s = min(GROUP_CHECK_INTERVAL_S, next_s - now_s)
             with trio.move_on_after(wait_s):
-                await self.known.changed.wait()
+                await self.backends.changed.wait()
 
     def _may_own(
         self, exchange: Exchange, now_s: float, until_s: float
@@ -180,14 +180,16 @@
         where that lasts, no request needs to wait.
         """
         service = exchange.service
-        if not self._runners(exchange) or self.known.owns_any(service, now_s):
+        if not self._runners(exchange) or self.backends.owns_any(
+            service, now_s
+        ):
             self._unowned_since_s.pop(service, None)
             return self._is_worth_waiting(exchange, until_s)
         since_s = self._unowned_since_s.setdefault(service, now_s)
         return now_s - since_s < groupstates.MAX_CLOSED_WAIT_S
 
     def _next_free_s(self, exchange: Exchange, now_s: float) -> float:
-        return self.known.next_free_s(
+        return self.backends.next_free_s(
             exchange.service,
             exchange.attempted,
             self._was_refused(exchange),
@@ -217,7 +219,7 @@
         Runners that back off are waited for where the first of them may get
         requests again by ``until_s``.
         """
-        if self.known.all_halls_out(exchange.service):
+        if self.backends.all_halls_out(exchange.service):
             return False
         if not self._runners(exchange) or self._is_probing(exchange):
             return True
@@ -238,11 +240,11 @@
         if not self.has_ranks(exchange.service):
             return None
         now_s = self._app.now_s()
-        return self.known.closed_for_s(exchange.service, now_s)
+        return self.backends.closed_for_s(exchange.service, now_s)
 
     def _no_runner_error(self, exchange: Exchange) -> errors.MountridgeError:
-        if self.known.all_halls_out(exchange.service):
-            out = ', '.join(sorted(self.known.halls_out))
+        if self.backends.all_halls_out(exchange.service):
+            out = ', '.join(sorted(self.backends.halls_out))
             return errors.HallsOut(f'halls out of service: {out}')
         closed_for_s = self._closed_for_s(exchange)
         if closed_for_s is not None:
@@ -253,8 +255,10 @@
         if end_s is not None:
             return self._backoff_error(end_s - self._app.now_s())
         service = exchange.service
-        is_limited = self.known.warmup.is_limited(service)
-        if is_limited and not self.known.owns_any(service, self._app.now_s()):
+        is_limited = self.backends.warmup.is_limited(service)
+        if is_limited and not self.backends.owns_any(
+            service, self._app.now_s()
+        ):
             if self._runners(exchange):
                 return errors.RunnersCold(
                     'all runners are owned by other gateways'
@@ -263,7 +267,7 @@
 
     def _backoff_end_s(self, exchange: Exchange) -> float | None:
         """Return when the first runner that backs off may get the request."""
-        return self.known.backoff_over_s(
+        return self.backends.backoff_over_s(
             exchange.service,
             exchange.attempted,
             self._was_refused(exchange),
@@ -279,12 +283,12 @@
         )
 
     def _runners(self, exchange: Exchange) -> list[backends.Backend]:
-        return self.known.of_service(exchange.service)
+        return self.backends.of_service(exchange.service)
 
     def _is_probing(self, exchange: Exchange) -> bool:
         """Return whether another request is probing the ranks."""
         service = exchange.service
-        return self.has_ranks(service) and self.known.is_probing(service)
+        return self.has_ranks(service) and self.backends.is_probing(service)
 
     def _choose(
         self, exchange: Exchange, now_s: float
@@ -296,7 +300,7 @@
     def _pick_any(
         self, exchange: Exchange, now_s: float
     ) -> backends.Picked | None:
-        return self.known.pick(
+        return self.backends.pick(
             exchange.service,
             self._app.settings['hall'],
             exchange.attempted,
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -595,7 +595,7 @@
     ),
     Mutant(
         'picking: no wait for another request that probes', 'picking',
-        'return self.has_ranks(service) and self.known.is_probing(service)',
+        'return self.has_ranks(service) and self.backends.is_probing(service)',
         'return False', 'closedgroups',
     ),
     Mutant(
@@ -622,7 +622,7 @@
     ),
     Mutant(
         'backoffs: no handling of leaving runners', 'forwarding',
-        'if head.is_leaving and self.known.backoffs.mark_leaving(runner):',
+        'if head.is_leaving and self.backends.backoffs.mark_leaving(runner):',
         'if False:', 'rests',
     ),
     Mutant(
@@ -632,7 +632,7 @@
     ),
     Mutant(
         'backoffs: no check between selection and send', 'forwarding',
-        'if not self.known.backoffs.may_send(backend.instance, now_s):',
+        'if not self.backends.backoffs.may_send(backend.instance, now_s):',
         'if False:', 'rests',
     ),
     Mutant(
@@ -1203,7 +1203,7 @@
     ),
     Mutant(
         'halls: no refusal when all halls are out', 'picking',
-        '''if self.known.all_halls_out(exchange.service):
+        '''if self.backends.all_halls_out(exchange.service):
             return False''',
         '''if False:
             return False''',
