--- a/mountridge/routing/crashwatch.py
+++ b/mountridge/routing/crashwatch.py
@@ -35,12 +35,12 @@
     def __init__(
         self,
         app: application.Application,
-        known: quarantine.Quarantine,
+        records: quarantine.Quarantine,
         backoffs: backoffs.Backoffs,
         has_ranks: typing.Callable[[str], bool],
     ):
         self._app = app
-        self._quarantine = known
+        self._quarantine = records
         self._backoffs = backoffs
         self._has_ranks = has_ranks
         #: Called when a suspect or quarantined request has succeeded.
--- a/mountridge/routing/routefilters.py
+++ b/mountridge/routing/routefilters.py
@@ -63,16 +63,18 @@
     return [parse_request, find_route, find_team, _set_deadline]
 
 
-def request_digest(known: quarantine.Quarantine, exchange: Exchange) -> bytes:
+def request_digest(
+    records: quarantine.Quarantine, exchange: Exchange
+) -> bytes:
     """Return the quarantine digest of a request, computed once."""
     if not exchange.digest:
-        exchange.digest = known.digest(
+        exchange.digest = records.digest(
             exchange.request, exchange.team, exchange.request_head.key
         )
     return exchange.digest
 
 
-def refuse_quarantined(known: quarantine.Quarantine) -> Filter:
+def refuse_quarantined(records: quarantine.Quarantine) -> Filter:
     """Return the filter that refuses quarantined requests.
 
     :raises RequestHeldBack: (the filter) the request is quarantined, since it
@@ -80,10 +82,10 @@
     """
 
     def check(exchange: Exchange, now_s: float) -> None:
-        if not known.has_entries():
+        if not records.has_entries():
             return
-        digest = request_digest(known, exchange)
-        if known.is_quarantined(digest, now_s):
+        digest = request_digest(records, exchange)
+        if records.is_quarantined(digest, now_s):
             raise errors.RequestHeldBack(f'quarantined as {digest.hex()}')
 
     return check
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -717,7 +717,7 @@
     ),
     Mutant(
         'quarantine: no refusal of quarantined requests', 'routefilters',
-        'if known.is_quarantined(digest, now_s):', 'if False:', 'quarantine',
+        'if records.is_quarantined(digest, now_s):', 'if False:', 'quarantine',
     ),
     Mutant(
         'quarantine: no count of crashes', 'crashwatch',
