--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -598,7 +598,7 @@
                 if name in self.lost or not world.is_reachable(name):
                     continue
                 made = world.entries[name]
-                if not made.held.is_valid(now_s):
+                if not made.lease.is_valid(now_s):
                     self.unleased.add(name)
                 listed = {a.partition(':')[0] for a in made.addresses()}
                 for other in listed.difference(world.processes):
@@ -699,9 +699,9 @@
             world.kill(name)
         world.kill('south3')
         world.start('south3')
-        held = world.entries['south3'].held
+        lease = world.entries['south3'].lease
         context.took_s = [
-            await world.until(lambda: held.is_valid(trio.current_time()))
+            await world.until(lambda: lease.is_valid(trio.current_time()))
         ]
 
     play(context, script)
--- a/features/worlds/core.py
+++ b/features/worlds/core.py
@@ -207,7 +207,7 @@
         ]
         now_s = trio.current_time()
         if not leader or not all(
-            self.entries[name].held.is_valid(now_s) for name in reachable
+            self.entries[name].lease.is_valid(now_s) for name in reachable
         ):
             return False
         config = self.config()
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -58,10 +58,10 @@
         self.dialect = dialect
         self._connect = connect
         self.settings = app.settings['entry']
-        self.held = leases.HeldLease()
+        self.lease = leases.HeldLease()
         self.leader = members.LeaderClient(app, self._on_push)
-        self.keeper = members.LeaseRenewer(
-            app, self.leader, self.held, self._renewal
+        self.lease_renewer = members.LeaseRenewer(
+            app, self.leader, self.lease, self.renewal
         )
         bounds = app.settings['bounds']
         self.backends = backends.Backends(
@@ -108,7 +108,8 @@
 
     # Lease, and state derived from the view.
 
-    def _renewal(self) -> messages.Renew:
+    def renewal(self) -> messages.Renew:
+        """Return the request that renews the lease."""
         return messages.Renew(
             self.app.name,
             'gateway',
@@ -119,7 +120,7 @@
             [],
             '',
             0,
-            self.held.view.index,
+            self.lease.view.index,
             self.draining,
             [],
             [],
@@ -127,8 +128,8 @@
 
     def _on_push(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
-            if self.held.apply_changes(message):
-                self.keeper.wake()
+            if self.lease.apply_changes(message):
+                self.lease_renewer.wake()
                 self.apply_view()
         elif isinstance(message, messages.Loads):
             now_s = self.app.now_s()
@@ -155,7 +156,7 @@
 
     def apply_view(self, *_: typing.Any, **__: typing.Any) -> None:
         """Update the state that is derived from the view."""
-        view = self.held.view
+        view = self.lease.view
         if view.revision == self._view_revision:
             return
         self._view_revision = view.revision
@@ -191,11 +192,11 @@
             'cold runners',
             cold=cold,
             registered=len(registered),
-            index=self.held.view.index,
+            index=self.lease.view.index,
         )
 
     def _update_halls(self) -> None:
-        packed = self.held.view.by_prefix(views.HALL_PREFIX)
+        packed = self.lease.view.by_prefix(views.HALL_PREFIX)
         listed = [views.unpack_hall(value) for value in packed.values()]
         out = {state.name: state for state in listed if state.is_out}
         if not self.backends.update_halls(set(out), self.app.now_s()):
@@ -207,16 +208,16 @@
             'halls out of service',
             halls=sorted(out),
             revisions=[out[name].revision for name in sorted(out)],
-            index=self.held.view.index,
+            index=self.lease.view.index,
         )
 
     def _update_quarantine(self) -> None:
-        packed = self.held.view.by_prefix(views.QUARANTINE_PREFIX).values()
+        packed = self.lease.view.by_prefix(views.QUARANTINE_PREFIX).values()
         listed = [views.unpack_quarantined(value) for value in packed]
         self.crash_reporter.update(listed)
 
     def _update_routes(self) -> None:
-        newest = views.routes_in(self.held.view)
+        newest = views.routes_in(self.lease.view)
         known = self.index.table.version if self.index else 0
         if newest.version <= known:
             return
@@ -235,11 +236,11 @@
             'routes in force',
             version=table.version,
             routes=len(table.routes),
-            index=self.held.view.index,
+            index=self.lease.view.index,
         )
 
     def _all_gateways(self) -> list[views.Member]:
-        packed = self.held.view.by_prefix('member/')
+        packed = self.lease.view.by_prefix('member/')
         listed = [views.unpack_member(value) for value in packed.values()]
         return [member for member in listed if member.kind == 'gateway']
 
@@ -354,9 +355,9 @@
     # Lease and shutdown.
 
     async def hold_lease(self) -> None:
-        """Renew the lease for ever."""
-        signals.view_changed.connect(self.apply_view, sender=self.held)
-        await self.keeper.run()
+        """Renew the lease until the process stops."""
+        signals.view_changed.connect(self.apply_view, sender=self.lease)
+        await self.lease_renewer.run()
 
     async def begin_drain(self) -> None:
         """Report not ready, and announce the drain to the leader."""
@@ -381,7 +382,7 @@
 
     async def _announce_drain(self) -> None:
         try:
-            await self.leader.call(self._renewal(), PUT_S)
+            await self.leader.call(self.renewal(), PUT_S)
         except errors.MountridgeError as problem:
             logger.warning('cannot announce the drain', reason=str(problem))
 
@@ -390,8 +391,8 @@
         now_s = self.app.now_s()
         backoffs = self.backends.backoffs
         return {
-            'index': self.held.view.index,
-            'lease_left_s': self.held.until_s - self.app.now_s(),
+            'index': self.lease.view.index,
+            'lease_left_s': self.lease.until_s - self.app.now_s(),
             'routes': self.index.table.version if self.index else 0,
             'open_requests': self.front.open_requests,
             'gateways': self.addresses(),
@@ -421,7 +422,7 @@
         :raises NotLeader: always.
         """
         problem = errors.NotLeader()
-        if self.held.is_valid(self.app.now_s()):
+        if self.lease.is_valid(self.app.now_s()):
             name, address = self.leader.current
             problem.leader, problem.leader_address = name, address
         raise problem
