--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -456,14 +456,14 @@
                 await self.leader.call(self.renewal(), 1.0)
             except errors.MountridgeError as problem:
                 logger.warning(
-                    'no controller could be notified of the drain',
+                    'cannot announce the drain',
                     reason=str(problem),
                 )
             # Tickets under way are still refused; after the end of the
             # process they would be lost.
             await trio.sleep(LINGER_S)
 
-    async def serve(self) -> None:
+    async def hold_lease(self) -> None:
         """Renew the lease until the process stops."""
         signals.view_changed.connect(self._apply_view, sender=self.lease)
         await self.lease_renewer.run()
@@ -495,7 +495,7 @@
     app.handlers[messages.Revoke] = agent.on_revoke
     app.handlers[messages.Attach] = agent.on_attach
     app.handlers[messages.ReadDecisions] = agent.on_read_decisions
-    app.tasks += [agent.outbox.flush, agent.report, agent.serve]
+    app.tasks += [agent.outbox.flush, agent.report, agent.hold_lease]
     app.drain.append(agent.drain)
     app.dumpers['agent'] = agent.dump
     return agent
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -165,7 +165,7 @@
         try:
             await self.leader.call(self.renewal(), 2.0)
         except errors.MountridgeError:
-            logger.warning('no controller could be notified of the drain')
+            logger.warning('cannot announce the drain')
         await trio.sleep(self.settings['address_ttl_s'])
         while self.open_requests:
             await trio.sleep(DRAIN_POLL_S)
