--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -261,7 +261,7 @@
     picked = context.known.pick('s', 'north', {'b'}, 1, random.Random(1), 1.01)
     assert picked and picked.backend.instance == context.restarted, picked
     assert picked.backend is not context.earlier
-    assert (picked.backend.own, picked.load) == (0, 0), picked.load
+    assert (picked.backend.own_requests, picked.load) == (0, 0), picked.load
     assert picked.backend.slowdown == 1.0
 
 
--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -740,7 +740,7 @@
                 gateway.known.record_report(load, trio.current_time())
             await gateway.ask(number)
             for backend in gateway.known.by_id.values():
-                backend.own = 0
+                backend.own_requests = 0
 
     _play(play)
 
--- a/mountridge/dispatch/placing.py
+++ b/mountridge/dispatch/placing.py
@@ -31,10 +31,10 @@
     name: str
     hall: str
     slots: int
-    reported: int  # running and waiting at the last report
+    reported_requests: int  # running and waiting at the last report
     report_age_s: float
-    own_since: int  # own requests started less ended since that report
-    own: int  # own requests in flight there
+    own_since_report: int  # started less ended since that report
+    own_requests: int  # of this gateway, in flight there
     slowness: float  # mean time to first data over that of its peers
     ejected: bool
     age_s: float  # since this gateway first saw the runner
@@ -50,9 +50,12 @@
 def occupancy(candidate: Candidate) -> float:
     """Return the estimated requests per slot."""
     if candidate.report_age_s > REPORT_STALE_S:
-        load = candidate.own
+        load = candidate.own_requests
     else:
-        load = max(candidate.own, candidate.reported + candidate.own_since)
+        load = max(
+            candidate.own_requests,
+            candidate.reported_requests + candidate.own_since_report,
+        )
     return load / candidate.slots
 
 
--- a/mountridge/dispatch/runners.py
+++ b/mountridge/dispatch/runners.py
@@ -38,8 +38,8 @@
         #: in flight.
         self.waiting_since_s = now_s
         self.load_received_s = -1e9
-        self.own = 0  # own requests in flight
-        self.own_since = 0  # own requests started less ended since `load`
+        self.own_requests = 0  # of this gateway, in flight
+        self.own_since_report = 0  # started less ended since `load`
         self.failures = 0  # consecutive
         self.ejections = 0
         self.ejected_until_s = 0.0
@@ -72,7 +72,7 @@
         restarted = []
         for name, state in list(self.states.items()):
             member = live.get(name)
-            if member is None and state.own > 0:
+            if member is None and state.own_requests > 0:
                 state.member = state.member._replace(state='gone')
             elif member is None:
                 del self.states[name]
@@ -99,25 +99,25 @@
         state.waiting_since_s = now_s
         state.load_received_s = now_s
         state.load = load
-        state.own_since = 0
+        state.own_since_report = 0
         return loss
 
     def record_sent(self, name: str, now_s: float) -> None:
         """Count an own request sent to a runner."""
         state = self.states[name]
-        if state.own == 0:
+        if state.own_requests == 0:
             state.waiting_since_s = now_s
-        state.own += 1
-        state.own_since += 1
+        state.own_requests += 1
+        state.own_since_report += 1
 
     def record_ended(self, name: str) -> None:
         """Count an own request as ended."""
         state = self.states.get(name)
         if state is None:
             return
-        state.own = max(0, state.own - 1)
-        state.own_since -= 1
-        if state.own == 0 and state.member.state == 'gone':
+        state.own_requests = max(0, state.own_requests - 1)
+        state.own_since_report -= 1
+        if state.own_requests == 0 and state.member.state == 'gone':
             del self.states[name]
 
     def record_first_data(self, name: str, took_s: float) -> None:
@@ -164,7 +164,8 @@
         return [
             name
             for name, state in self.states.items()
-            if state.own > 0 and now_s - state.waiting_since_s > UNRESPONSIVE_S
+            if state.own_requests > 0
+            and now_s - state.waiting_since_s > UNRESPONSIVE_S
         ]
 
     def candidates(
@@ -198,8 +199,8 @@
         max(1, state.member.slots),
         load.running + load.waiting if load else 0,
         now_s - state.load_received_s,
-        state.own_since,
-        state.own,
+        state.own_since_report,
+        state.own_requests,
         slowness,
         now_s < state.ejected_until_s or slowness > MAX_SLOWNESS,
         now_s - state.first_seen_s,
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -400,8 +400,8 @@
             'runners': {
                 key: {
                     'state': backend.instance.state,
-                    'own': backend.own,
-                    'reported': backend.reported,
+                    'own': backend.own_requests,
+                    'reported': backend.reported_requests,
                     'failures': backend.failures,
                     'cold': backend.instance.is_cold,
                     'rests': backoffs.until_s(backend.instance) > now_s,
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -182,7 +182,7 @@
             'shares': [s._asdict() for s in self.lease.shares.values()],
             'runners': {
                 name: {
-                    'own': state.own,
+                    'own': state.own_requests,
                     'load': state.load._asdict() if state.load else None,
                     'failures': state.failures,
                     'first_data_s': state.first_data_s,
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -159,7 +159,7 @@
         that one has joined. The refusal then counts for all known ranks of
         the group; ranks whose group is unknown count as one group.
         """
-        is_full = backend.reported >= backend.instance.slots
+        is_full = backend.reported_requests >= backend.instance.slots
         if is_full and not backend.replaced:
             return
         if not self._is_current(backend):
@@ -202,7 +202,7 @@
         listed = self.of_service(service)
         if any(backend.group_state.is_known for backend in listed):
             return False
-        return any(backend.own for backend in listed)
+        return any(backend.own_requests for backend in listed)
 
     def _ranks_in_group(self, backend: Backend) -> list[Backend]:
         """Return the known ranks of a rank's group, itself among them."""
@@ -410,7 +410,7 @@
         While some runners refuse all requests, an idle one may be another of
         them, and a request that was refused has few attempts left.
         """
-        is_busy = backend.own > 0 or backend.reported > 0
+        is_busy = backend.own_requests > 0 or backend.reported_requests > 0
         return is_busy and not self.backoffs.is_unconfirmed(backend.instance)
 
     def _accepting(
--- a/mountridge/routing/runnerstates.py
+++ b/mountridge/routing/runnerstates.py
@@ -31,10 +31,12 @@
 
     def __init__(self, instance: instances.Instance):
         self.instance = instance
-        self.own = 0  # requests of this gateway in flight there
+        self.own_requests = 0  # of this gateway, in flight there
         #: Start times of recent own requests that a report may not include.
         self._started_s: collections.deque[float] = collections.deque()
-        self.reported = 0  # running and waiting, by the newest load report
+        self.reported_requests = (
+            0  # running and waiting, by the newest load report
+        )
         self.reported_s = float('-inf')
         #: When the newest report of its sidecar arrived.
         self.sidecar_report_s = float('-inf')
@@ -55,11 +57,13 @@
         ``interval_s`` is the usual time between two reports of a runner.
         """
         if now_s - self.reported_s > STALE_INTERVALS * interval_s:
-            return self.own
+            return self.own_requests
         unreported_s = UNREPORTED_INTERVALS * interval_s
         while self._started_s and self._started_s[0] < now_s - unreported_s:
             self._started_s.popleft()
-        return max(self.own, self.reported + len(self._started_s))
+        return max(
+            self.own_requests, self.reported_requests + len(self._started_s)
+        )
 
     def occupancy(self, interval_s: float, now_s: float) -> float:
         """Return the estimated number of requests per slot."""
@@ -73,16 +77,16 @@
 
     def request_started(self, now_s: float) -> None:
         """Count a request of this gateway as sent."""
-        self.own += 1
+        self.own_requests += 1
         self._started_s.append(now_s)
 
     def request_ended(self) -> None:
         """Count a request of this gateway as ended."""
-        self.own -= 1
+        self.own_requests -= 1
 
     def record_load(self, running: int, waiting: int, now_s: float) -> None:
         """Record a load report."""
-        self.reported = running + waiting
+        self.reported_requests = running + waiting
         self.reported_s = now_s
 
     def record_success(self) -> None:
