--- a/features/steps/rests_steps.py
+++ b/features/steps/rests_steps.py
@@ -296,8 +296,8 @@
 def refused_by_fourth(context, ago_s):
     now_s = 101.0 + ago_s
     context.known.by_id['i-1'].record_load(2, 0, now_s)
-    tried, rng = {'i-0', 'i-3'}, random.Random(1)
-    context.picked = context.known.pick('s', 'north', tried, 1, rng, now_s)
+    attempted, rng = {'i-0', 'i-3'}, random.Random(1)
+    context.picked = context.known.pick('s', 'north', attempted, 1, rng, now_s)
 
 
 @then('it goes to the {which} one')
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -24,7 +24,7 @@
 Backend = runnerstates.Backend
 
 #: Least usual time between two reports of one runner, and the weight of the
-#: newest interval in it. With many runners the leader asks for longer ones.
+#: newest interval in it. With many runners the leader sets longer intervals.
 MIN_REPORT_INTERVAL_S = 0.12
 SMOOTHING = 0.05
 #: Where the report interval is longer than this, a gateway first fills its
@@ -43,7 +43,7 @@
 #: little to do.
 AVOID_SLOWDOWN = 1.25
 #: From this slowdown on, streams that can be resumed move to another runner.
-#: Reading the prompt again takes about two forward passes.
+#: Processing the prompt again takes about two forward passes.
 MIGRATE_SLOWDOWN = 2.0
 #: Occupancy that a hop to another hall is worth: traffic between halls is
 #: charged for, while its delay is small beside the time to a first token.
@@ -79,7 +79,7 @@
         self._preferred: set[str] = set()
         #: Halls that are out of service.
         self.halls_out: set[str] = set()
-        #: When each hall in its slow start was put back.
+        #: When each hall in its slow start was restored.
         self._restored_s: dict[str, float] = {}
         self.by_id: dict[str, Backend] = {}
         self._by_service: dict[str, list[Backend]] = {}
@@ -93,7 +93,7 @@
         #: Times of recent selections, by service.
         self._picked_s: dict[str, collections.deque[float]] = {}
         #: Ids of the runners owned by this gateway, by service, and the
-        #: generation of the assignment that they are from.
+        #: generation of their assignment.
         self._owned_ids: dict[str, frozenset[str]] = {}
         self._owned_generation = 0
 
@@ -106,14 +106,14 @@
         group state of the one before.
         """
         before = {b.instance.address for b in self.by_id.values()}
-        known = self.by_id
+        previous = self.by_id
         ended: set[str] = set()
         self.by_id = {}
         self._by_service = {}
         for instance in registered:
             if instance.state == instances.LEFT:
                 continue
-            backend = known.get(instance.instance_id)
+            backend = previous.get(instance.instance_id)
             if backend is None or not backend.is_same_incarnation(instance):
                 ended.add(instance.address)
                 backend = Backend(instance)
@@ -183,7 +183,7 @@
     def _is_current(self, backend: Backend) -> bool:
         """Return whether this is the known incarnation of a runner.
 
-        A delayed answer of an earlier one says nothing about the group now.
+        A delayed answer of an earlier one does not show the current state.
         """
         return self.by_id.get(backend.instance.instance_id) is backend
 
@@ -196,8 +196,8 @@
 
         The view of a process that has just started may be older than all
         runners, for example after a loss of all power. Until a report or an
-        answer arrives, one request is sent and the others wait: sent
-        together, their retries would use up the retry budget of all gateways.
+        answer arrives, one request is sent and the others wait: if all were
+        sent, their retries would use up the retry budget of all gateways.
         """
         listed = self.of_service(service)
         if any(backend.group_state.is_known for backend in listed):
@@ -224,7 +224,7 @@
             self._assign_subset()
 
     def update_halls(self, out: set[str], now_s: float) -> bool:
-        """Apply the view: the halls out of service; return if it changed."""
+        """Apply the view: the halls out of service; return if they changed."""
         if out == self.halls_out:
             return False
         for hall in self.halls_out - out:
@@ -271,7 +271,7 @@
     def _slow_start(self, now_s: float) -> dict[str, float]:
         """Return what to add to the occupancy of runners, by hall.
 
-        Has the halls that were put back recently, and no others.
+        Has the halls that were restored recently, and no others.
         """
         if not self._restored_s:
             return self._restored_s
@@ -323,7 +323,7 @@
         self,
         service: str,
         hall: str,
-        tried: set[str],
+        attempted: set[str],
         gateways: int,
         rng: random.Random,
         now_s: float,
@@ -331,16 +331,16 @@
     ) -> Picked | None:
         """Return the runner for a request; None if there is none.
 
-        Runners in ``tried`` have had the request already and are excluded, as
-        are those whose group is closed. After a rank has refused the request
-        (``was_refused``), only groups that are known to be open are selected.
-        Ejected runners are selected only if all are ejected.
+        Runners in ``attempted`` were sent the request before and are excluded,
+        as are those whose group is closed. After a rank has refused the
+        request (``was_refused``), only groups that are known to be open are
+        selected. Ejected runners are selected only if all are ejected.
 
         All ``gateways`` see the same reports and would all select the least
         loaded runner until the next ones arrive. So each selects as if a
-        random number of the others' unreported requests had gone before.
+        random number of the others' unreported requests had been sent before.
         """
-        healthy = self._healthy(service, tried, was_refused, now_s)
+        healthy = self._healthy(service, attempted, was_refused, now_s)
         if self.warmup.is_limited(service):
             has_quota_left = self.warmup.has_quota_left
             healthy = [b for b in healthy if has_quota_left(b.instance, now_s)]
@@ -389,19 +389,23 @@
         return Picked(best, load, age_s, len(candidates), now_s)
 
     def _healthy(
-        self, service: str, tried: set[str], was_refused: bool, now_s: float
+        self,
+        service: str,
+        attempted: set[str],
+        was_refused: bool,
+        now_s: float,
     ) -> list[Backend]:
         """Return the healthy runners that would accept a request.
 
         Ejected and slow ones are included only if there are no others.
         """
-        fit = self._accepting(service, tried, was_refused, now_s)
+        usable = self._accepting(service, attempted, was_refused, now_s)
         if self.backoffs:
             may_select = self.backoffs.may_select
-            fit = [b for b in fit if may_select(b.instance, now_s)]
-            if tried and self.backoffs.is_any_unconfirmed(now_s):
-                fit = [b for b in fit if self._is_working(b)] or fit
-        healthy = [b for b in fit if b.ejected_until_s <= now_s] or fit
+            usable = [b for b in usable if may_select(b.instance, now_s)]
+            if attempted and self.backoffs.is_any_unconfirmed(now_s):
+                usable = [b for b in usable if self._is_working(b)] or usable
+        healthy = [b for b in usable if b.ejected_until_s <= now_s] or usable
         return [b for b in healthy if b.slowdown < AVOID_SLOWDOWN] or healthy
 
     def _is_working(self, backend: Backend) -> bool:
@@ -414,26 +418,34 @@
         return is_busy and not self.backoffs.is_unconfirmed(backend.instance)
 
     def _accepting(
-        self, service: str, tried: set[str], was_refused: bool, now_s: float
+        self,
+        service: str,
+        attempted: set[str],
+        was_refused: bool,
+        now_s: float,
     ) -> list[Backend]:
         """Return the runners that would accept a request, backoff aside."""
         return [
             backend
             for backend in self._assigned(service, now_s)
-            if backend.instance.instance_id not in tried
+            if backend.instance.instance_id not in attempted
             and not backend.group_state.is_closed(now_s, was_refused)
         ]
 
-    def backoff_over_s(
-        self, service: str, tried: set[str], was_refused: bool, now_s: float
+    def earliest_backoff_end_s(
+        self,
+        service: str,
+        attempted: set[str],
+        was_refused: bool,
+        now_s: float,
     ) -> float | None:
-        """Return when the first runner that backs off may get a request.
+        """Return when the first backoff of a runner for a request ends.
 
-        None if none of those that would accept it backs off.
+        None if none of the runners that would accept it backs off.
         """
         if not self.backoffs:
             return None
-        accepting = self._accepting(service, tried, was_refused, now_s)
+        accepting = self._accepting(service, attempted, was_refused, now_s)
         return min(
             (
                 max(now_s, self.backoffs.until_s(backend.instance))
@@ -474,19 +486,23 @@
         return bool(self._assigned(service, now_s))
 
     def next_free_s(
-        self, service: str, tried: set[str], was_refused: bool, now_s: float
+        self,
+        service: str,
+        attempted: set[str],
+        was_refused: bool,
+        now_s: float,
     ) -> float:
         """Return when `pick` can select a runner that can turn cold.
 
         `warmup.NEVER` if this gateway knows of none that it may send to.
         """
-        healthy = self._healthy(service, tried, was_refused, now_s)
+        healthy = self._healthy(service, attempted, was_refused, now_s)
         return self.warmup.earliest_send_s(
             [b.instance for b in healthy], 0, now_s
         )
 
     def earliest_send_s(
-        self, service: str, tried: set[str], ahead: int, now_s: float
+        self, service: str, attempted: set[str], ahead: int, now_s: float
     ) -> float:
         """Return when a request can go to a runner that can turn cold.
 
@@ -499,7 +515,7 @@
             for backend in self._by_service.get(service, [])
             if backend.instance.state == instances.READY
             and backend.instance.hall not in self.halls_out
-            and backend.instance.instance_id not in tried
+            and backend.instance.instance_id not in attempted
         ]
         return self.warmup.earliest_send_s(runners, ahead, now_s)
 
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -28,14 +28,14 @@
 _runner_fields, _to_ms = routedexchanges.runner_fields, routedexchanges.to_ms
 
 #: A request is cancelled this long after its deadline, so that an answer that
-#: is already arriving is still returned.
+#: is arriving already is still returned.
 DEADLINE_GRACE_S = 0.05
 #: How long a request may wait in a process that has just started and has no
 #: routes yet: longer than an election and a first lease, since many callers
 #: retry only once.
 ROUTES_WAIT_S = 1.5
 #: Misdirected attempts of one request that do not count as attempts; with
-#: more, the registrations are taken to be out of date.
+#: more, the registrations are assumed to be outdated.
 MAX_UNCOUNTED_MISDIRECTED = 3
 #: No retry is made with less time than this until the deadline.
 MIN_RETRY_TIME_S = 0.05
@@ -394,7 +394,7 @@
             exchange,
             reply,
             self.app.now_s,
-            lambda: self._leave_slow_runner(exchange, backend),
+            lambda: self._migrate_if_slow(exchange, backend),
         )
         backend.record_success()
         self.crashes.record_success(exchange)
@@ -405,9 +405,9 @@
         runner: instances.Instance,
         head: dialects.ReplyHead,
     ) -> None:
-        """Record a backoff or a drain that a runner's answer announces.
+        """Record a backoff or departure that a runner's answer announces.
 
-        Neither shows in its registration or its load: without this, a runner
+        Neither is part of its registration or its load: without this, a runner
         that refuses all requests would seem the least loaded one.
         """
         now_s = self.app.now_s()
@@ -422,9 +422,9 @@
             self.app.metrics.incr('rest.asked')
             if math.isnan(head.backoff_s):
                 self.app.metrics.incr('runner.malformed.rest')
-            rest_ms = _to_ms(backoff_until_s - now_s)
+            backoff_ms = _to_ms(backoff_until_s - now_s)
             logger.info(
-                'runner requested a backoff', **fields, rest_ms=rest_ms
+                'runner requested a backoff', **fields, rest_ms=backoff_ms
             )
         if head.is_leaving and self.backends.backoffs.mark_leaving(runner):
             self.app.metrics.incr('runner.says_leaving')
@@ -435,7 +435,7 @@
                 held_state=state,
             )
 
-    def _leave_slow_runner(
+    def _migrate_if_slow(
         self, exchange: Exchange, backend: backends.Backend
     ) -> None:
         """Move a stream to another runner where its runner has become slow.
--- a/mountridge/routing/groupstates.py
+++ b/mountridge/routing/groupstates.py
@@ -16,12 +16,12 @@
 __all__ = ['GroupState', 'MAX_CLOSED_WAIT_S']
 
 #: How long a refusal by a rank with free slots marks its group as closed if
-#: no newer report arrives; then requests that had no attempt yet probe it.
+#: no newer report arrives; after that requests without an attempt probe it.
 #: Longer than a report takes by way of the leader, shorter than a group takes
 #: to form.
 REFUSAL_VALID_S = 0.3
 #: A report of a closed group is ignored once it is older than this. Sidecars
-#: report each 0.5 s at the latest.
+#: report every 0.5 s at the latest.
 REPORT_VALID_S = 1.5
 #: Requests don't wait for a group that has been closed for longer: it has
 #: lost a rank for good, or some ranks never started. Longer than a group
@@ -30,7 +30,7 @@
 
 
 class GroupState:
-    """What a gateway knows of the group of one runner."""
+    """The state of the group of one runner, as known to this gateway."""
 
     def __init__(self) -> None:
         self._reported_open = True
--- a/mountridge/routing/hallorders.py
+++ b/mountridge/routing/hallorders.py
@@ -31,16 +31,18 @@
 Call = typing.Callable[[typing.Any, float], typing.Awaitable[typing.Any]]
 
 
-def check_name(name: str, known: list[str]) -> None:
-    """Check the name of a hall; if ``known`` is empty, any valid one passes.
+def check_name(name: str, configured: list[str]) -> None:
+    """Check the name of a hall; if none is configured, any valid one passes.
 
     :raises BadRequest: the name is malformed.
     :raises UnknownHall: no hall of the deployment has this name.
     """
     if not NAME_PATTERN.fullmatch(name):
         raise errors.BadRequest(f'malformed name of a hall: {name[:80]!r}')
-    if known and name not in known:
-        raise errors.UnknownHall(f'{name!r} is not one of {", ".join(known)}')
+    if configured and name not in configured:
+        raise errors.UnknownHall(
+            f'{name!r} is not one of {", ".join(configured)}'
+        )
 
 
 class HallOrders:
@@ -68,7 +70,7 @@
         return reply.halls
 
     async def set(self, name: str, is_out: bool) -> halls.HallState:
-        """Take a hall out of service, or restore it; return when committed.
+        """Take a hall out of service, or restore it; return once committed.
 
         :raises BadRequest: the name is malformed.
         :raises UnknownHall: no hall of the deployment has this name.
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -267,7 +267,7 @@
 
     def _backoff_end_s(self, exchange: Exchange) -> float | None:
         """Return when the first runner that backs off may get the request."""
-        return self.backends.backoff_over_s(
+        return self.backends.earliest_backoff_end_s(
             exchange.service,
             exchange.attempted,
             self._was_refused(exchange),
--- a/mountridge/routing/quarantine.py
+++ b/mountridge/routing/quarantine.py
@@ -73,12 +73,12 @@
         before = self._listed
         self._listed = {each.digest: each for each in listed}
         for digest, each in before.items():
-            if each.is_held and not self._is_held_by_leader(digest):
+            if each.is_held and not self._is_quarantined_by_leader(digest):
                 # Released: earlier crashes no longer count.
                 self._crashes.pop(digest, None)
         for digest in self._listed:
-            was_held = digest in before and before[digest].is_held
-            if self._is_held_by_leader(digest) and not was_held:
+            was_quarantined = digest in before and before[digest].is_held
+            if self._is_quarantined_by_leader(digest) and not was_quarantined:
                 self._report_success(digest)
 
     def _report_success(self, digest: bytes) -> None:
@@ -88,11 +88,11 @@
 
     def is_quarantined(self, digest: bytes, now_s: float) -> bool:
         """Return whether a request may be sent to no runner now."""
-        return self._is_held_by_leader(digest) or self._is_crash_limit_reached(
-            digest, now_s
-        )
+        return self._is_quarantined_by_leader(
+            digest
+        ) or self._is_crash_limit_reached(digest, now_s)
 
-    def _is_held_by_leader(self, digest: bytes) -> bool:
+    def _is_quarantined_by_leader(self, digest: bytes) -> bool:
         entry = self._listed.get(digest)
         return entry is not None and entry.is_held
 
--- a/mountridge/routing/warmup.py
+++ b/mountridge/routing/warmup.py
@@ -24,16 +24,16 @@
 ]  # fmt: skip
 
 #: Sends are limited in each second. A little longer, since the bytes of two
-#: sends may leave a busy box that much closer together than they were written.
+#: sends may leave a busy box closer together than they were written.
 WINDOW_S = 1.05
 #: A send is counted from when it is decided, at the latest time at which it
-#: may leave: a connection that is not made by then is given up.
+#: may be sent: a connection that is not made by then is abandoned.
 MAX_SEND_DELAY_S = lasthop.CONNECT_S
-#: A gateway that has left the view still counts as an owner for so long. Most
-#: come back under their name within it, and gateways that count the same names
-#: choose the same owners.
+#: A gateway that has left the view still counts as an owner for this time.
+#: Most return under the same name within it, and gateways that count the
+#: same names choose the same owners.
 RETENTION_S = 30.0
-#: How long views may lag behind leases. For a lease and so long after its
+#: How long views may lag behind leases. For a lease and this time after its
 #: start a gateway sends at most one request to a runner in a window: its first
 #: view may lack gateways that start with it, after the loss of a hall all but
 #: itself.
@@ -56,7 +56,7 @@
 
 
 def compute_quotas(limit_per_s: float, local: int, remote: int) -> Quotas:
-    """Return the quotas that share out half of ``limit_per_s``.
+    """Return the quotas that divide half of ``limit_per_s``.
 
     ``local`` gateways are in the hall of the runner and ``remote`` elsewhere.
     Few gateways all own each runner. Of many, half of the owners are in
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -657,8 +657,8 @@
     ),
     Mutant(
         'backoffs: no preference of busy runners for retries', 'backends',
-        'fit = [b for b in fit if self._is_working(b)] or fit', 'pass',
-        'rests',
+        'usable = [b for b in usable if self._is_working(b)] or usable',
+        'pass', 'rests',
     ),
     Mutant(
         'backoffs: no wait for the end', 'picking',
@@ -1193,7 +1193,7 @@
     ),
     Mutant(
         'halls: no check of names', 'hallorders',
-        'if known and name not in known:', 'if False:',
+        'if configured and name not in configured:', 'if False:',
         'halls', 'name of a hall',
     ),
     Mutant(
