--- a/mountridge/routing/backoffs.py
+++ b/mountridge/routing/backoffs.py
@@ -15,9 +15,9 @@
 NO_BACKOFF = backoffstates.NO_BACKOFF
 #: Incarnations whose state is kept, the latest ones: several whole fleets.
 MAX_STATES = 2000
-#: A runner that has accepted nothing for so long after its backoff has ended
-#: or gets no requests for another reason; it no longer affects how others are
-#: selected.
+#: Time after the end of a backoff for which a runner that has accepted no
+#: request affects how others are selected; after that it likely gets no
+#: requests for another reason.
 UNCONFIRMED_S = 10.0
 
 Incarnation = tuple[str, int, int]
@@ -39,11 +39,11 @@
         return self._ensure(runner).back_off(span_s, now_s)
 
     def mark_leaving(self, runner: instances.Instance) -> bool:
-        """Record that a runner leaves; return whether that is new."""
+        """Record that a runner is leaving; return whether that is new."""
         return self._ensure(runner).mark_leaving()
 
     def is_leaving(self, runner: instances.Instance) -> bool:
-        """Return whether a runner has announced that it leaves."""
+        """Return whether a runner has announced that it is leaving."""
         state = self._states.get(_incarnation(runner))
         return state is not None and state.is_leaving
 
@@ -112,7 +112,7 @@
     def _ensure(
         self, runner: instances.Instance
     ) -> backoffstates.BackoffState:
-        """Return the state of a runner, made the latest and new if needed.
+        """Return the state of a runner as the latest one, created if needed.
 
         Drops the oldest states above `MAX_STATES`.
         """
--- a/mountridge/routing/crashwatch.py
+++ b/mountridge/routing/crashwatch.py
@@ -2,7 +2,7 @@
 
 """Detection of runner crashes, and retries of requests that may cause them.
 
-A broken connection alone is no proof of a crash. The address of a runner whose
+A broken connection alone does not show a crash. The address of a runner whose
 process has ended refuses the next connection at once; a runner that reset one
 connection accepts the next, and a box that is partitioned or suspended does
 not answer.
--- a/mountridge/routing/entryapi.py
+++ b/mountridge/routing/entryapi.py
@@ -3,8 +3,9 @@
 """The HTTP API of an entry process, besides callers' requests.
 
 Its clients are callers (addresses of gateways), health checks, runners
-(heartbeats, leaves) and operators (routes documents, halls, quarantine).
-A `WireNames` holds the paths and body formats of one variant of the API.
+(heartbeats, deregistrations) and operators (routes documents, halls,
+quarantine). A `WireNames` holds the paths and body formats of one variant of
+the API.
 """
 
 import contextlib
@@ -31,7 +32,7 @@
         """Return whether this process can serve requests."""
 
     async def put_routes(self, source: bytes) -> int:
-        """Submit a routes document; return the version then stored."""
+        """Submit a routes document; return the version stored afterwards."""
 
     async def read_routes(self) -> bytes | None:
         """Return the newest routes document."""
@@ -216,16 +217,16 @@
 
 async def _hall_call(entry: Entry, names: WireNames, path: bytes) -> dict:
     """Execute a call on halls and return the body of its answer."""
-    rest = path[len(names.halls) :]
-    if not rest:
+    remainder = path[len(names.halls) :]
+    if not remainder:
         listed = await entry.read_halls()
         return {'halls': [state._asdict() for state in listed]}
     for suffix, is_out in (
         (names.drain_hall, True),
         (names.restore_hall, False),
     ):
-        if rest.endswith(suffix):
-            name = rest[: -len(suffix)].decode('latin-1')
+        if remainder.endswith(suffix):
+            name = remainder[: -len(suffix)].decode('latin-1')
             state = await entry.set_hall(name, is_out)
             return state._asdict()
     raise errors.NoRoute(path.decode('latin-1'))
@@ -235,12 +236,12 @@
     entry: Entry, names: WireNames, path: bytes
 ) -> dict:
     """Execute a call on the quarantine and return the body of its answer."""
-    rest = path[len(names.quarantine) :]
-    if not rest:
+    remainder = path[len(names.quarantine) :]
+    if not remainder:
         listed = await entry.read_quarantine()
-    elif rest.endswith(names.release):
-        text = rest[: -len(names.release)].decode('latin-1')
-        listed = await entry.release(quarantines.parse_digest(text))
+    elif remainder.endswith(names.release):
+        digest = remainder[: -len(names.release)].decode('latin-1')
+        listed = await entry.release(quarantines.parse_digest(digest))
     else:
         raise errors.NoRoute(path.decode('latin-1'))
     entries = [
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -4,7 +4,7 @@
 
 A request waits only where a runner may become available soon: where none is
 known, where the groups of all are closed or all back off, where a probe
-request checks whether the runners of an old view are still there, and where
+request checks whether the runners of an old view still exist, and where
 this gateway has used up its quotas of runners that can be cold. What can't be
 served in time is refused at once, as where all halls are out of service.
 """
@@ -31,12 +31,12 @@
 WAIT_FRACTION = 0.4
 #: How long after its start a request still waits for a closed group or for its
 #: quota. With up to 0.5 s to a first event, within the 2 s after which callers
-#: give up a stream that has shown nothing.
+#: abandon a stream without events.
 GROUP_WAIT_S = 1.5
 #: Between two checks whether a group is open: a refusal by one of its ranks
 #: closes it for 0.3 s only.
 GROUP_CHECK_INTERVAL_S = 0.1
-#: Where all runners back off, callers are asked to retry no sooner than this:
+#: Where all runners back off, the Retry-After of callers is at least this:
 #: after a backoff each runner first gets a probe request, whose answer others
 #: wait for.
 MIN_RETRY_AFTER_S = 0.5
@@ -92,12 +92,12 @@
         now_s = self._app.now_s()
         wait_s = max(0.0, self._max_wait_s(exchange, now_s))
         until_s = now_s + wait_s
-        picked = self._choose(exchange, now_s)
+        picked = self._pick_unless_probing(exchange, now_s)
         with trio.move_on_after(wait_s):
             while picked is None and self._is_worth_waiting(exchange, until_s):
                 with trio.move_on_after(GROUP_CHECK_INTERVAL_S):
                     await self.backends.changed.wait()
-                picked = self._choose(exchange, self._app.now_s())
+                picked = self._pick_unless_probing(exchange, self._app.now_s())
         return picked
 
     # Runners that can be cold.
@@ -105,7 +105,7 @@
     async def _pick_limited(
         self, exchange: Exchange
     ) -> backends.Picked | None:
-        """Return a runner with quota left; None where none comes in time.
+        """Return a runner with quota left; None if there is none in time.
 
         A retry has waited before and can't use all runners, so it joins no
         queue and gets the first runner with quota left.
@@ -116,14 +116,14 @@
         queue = self._queues[exchange.service]
         picked = None
         if exchange.attempted or not len(queue):
-            picked = self._choose(exchange, now_s)
+            picked = self._pick_unless_probing(exchange, now_s)
         if picked is not None:
             self._unowned_since_s.pop(exchange.service, None)
             return picked
         self._app.metrics.incr('cold.waited')
         if exchange.attempted:
             # `GROUP_WAIT_S` limits the time to a first event; a stream that
-            # is resumed has shown some, and may wait a whole window.
+            # is resumed has sent some, and may wait a whole window.
             left_s = exchange.deadline_s - now_s
             until_s = now_s + min(warmup.WINDOW_S, WAIT_FRACTION * left_s)
             return await self._wait_for_quota(exchange, None, until_s)
@@ -157,7 +157,7 @@
                 with trio.move_on_after(until_s - now_s):
                     await waiter.moved.wait()
                 continue
-            picked = self._choose(exchange, now_s)
+            picked = self._pick_unless_probing(exchange, now_s)
             if picked is not None:
                 return picked
             next_free_s = self._next_free_s(exchange, now_s)
@@ -176,8 +176,8 @@
     ) -> bool:
         """Return whether this gateway may soon own a runner with quota left.
 
-        Where few runners are known after a start, all may be owned by others;
-        where that lasts, no request needs to wait.
+        After a start few runners are known, and others may own them all; if
+        that lasts, no request needs to wait.
         """
         service = exchange.service
         if not self._runners(exchange) or self.backends.owns_any(
@@ -290,7 +290,7 @@
         service = exchange.service
         return self.has_ranks(service) and self.backends.is_probing(service)
 
-    def _choose(
+    def _pick_unless_probing(
         self, exchange: Exchange, now_s: float
     ) -> backends.Picked | None:
         if self._is_probing(exchange):
--- a/mountridge/routing/quarantine.py
+++ b/mountridge/routing/quarantine.py
@@ -2,7 +2,7 @@
 
 """One gateway's record of requests that crash their runners.
 
-A broken connection alone is no proof of a crash: truncated answers, resets,
+A broken connection alone does not show a crash: truncated answers, resets,
 planned stops and suspended boxes look alike. A runner counts as crashed if its
 connection broke while it ran a request and its address refuses a new one right
 after that. All requests that it ran are suspects; a success clears a suspect,
--- a/mountridge/routing/runnerstates.py
+++ b/mountridge/routing/runnerstates.py
@@ -17,8 +17,8 @@
 #: Age of a load report, in report intervals, above which it is ignored and
 #: only the gateway's own requests count.
 STALE_INTERVALS = 5.0
-#: Own requests started within this many report intervals are taken as not
-#: yet in the newest report: the leader forwards reports with a delay.
+#: Own requests started within this many report intervals are assumed not
+#: to be in the newest report: the leader forwards reports with a delay.
 UNREPORTED_INTERVALS = 1.25
 #: Consecutive failures after which a runner is ejected.
 FAILURES = 2
@@ -27,7 +27,7 @@
 
 
 class Backend:
-    """One incarnation of a runner, as this gateway sees it."""
+    """One incarnation of a runner, as known to this gateway."""
 
     def __init__(self, instance: instances.Instance):
         self.instance = instance
