--- a/mountridge/dispatch/attempts.py
+++ b/mountridge/dispatch/attempts.py
@@ -61,7 +61,7 @@
     async def read(self) -> bytes:
         """Wait for data and return all that is buffered, b'' at the end.
 
-        :raises MountridgeError: the answer was cut off before its end.
+        :raises MountridgeError: the answer was truncated.
         """
         while not self._data and not self.ended:
             self._changed = trio.Event()
--- a/mountridge/dispatch/dispatching.py
+++ b/mountridge/dispatch/dispatching.py
@@ -21,7 +21,7 @@
 #: Number of prefixes for which the last runner is kept.
 MAX_PREFIXES = 4096
 MONITOR_INTERVAL_S = 0.25
-GREET_TIMEOUT_S = 0.5
+WATCH_TIMEOUT_S = 0.5
 CLAIM_TIMEOUT_S = 3.0
 #: Timeout of `Attach` and `Revoke` calls to an agent.
 REVOKE_TIMEOUT_S = 1.0
@@ -74,7 +74,7 @@
         if loss.tickets:
             self.app.metrics.incr('tickets.lost', len(loss.tickets))
             self.attempts.fail_lost(loss.tickets, 'the ticket may be lost')
-        return not loss.old
+        return not loss.outdated
 
     def update_members(self, listed) -> None:
         """Apply the members of the view; disconnect from those removed."""
@@ -125,7 +125,7 @@
         if state.load is not None:
             return
         load = await self._connection(name).call(
-            messages.WatchLoad(), GREET_TIMEOUT_S
+            messages.WatchLoad(), WATCH_TIMEOUT_S
         )
         self._record_load(load, False)
 
@@ -288,7 +288,7 @@
         return data
 
     def _close_attempt(self, attempt: attempts.Attempt, cancel: bool) -> None:
-        """Remove an attempt; if ``cancel``, tell its agent to stop it."""
+        """Remove an attempt; if ``cancel``, also cancel it at its agent."""
         self.attempts.remove(attempt)
         self.runners.record_ended(attempt.agent)
         found = self._connections.get(attempt.agent)
@@ -305,8 +305,8 @@
     ) -> tuple[attempts.Attempt, bytes]:
         """Return the attempt whose answer has begun, and its first data.
 
-        If ``buffered``, the data is the complete answer. An answer that is
-        cut off can then be retried, since none of it has been sent to the
+        If ``buffered``, the data is the complete answer. A truncated answer
+        can then be retried, since none of it has been sent to the
         caller.
 
         :raises MountridgeError: the error of the last attempt.
@@ -318,7 +318,7 @@
             try:
                 attempt, data = await self._run_attempt(exchange)
                 if buffered:
-                    data += await self._read_rest(attempt)
+                    data += await self._read_remaining(attempt)
                 return attempt, data
             except errors.MountridgeError as problem:
                 self._check_retry(exchange, problem)
@@ -335,7 +335,7 @@
             f'timed out waiting for more data from {attempt.agent}'
         )
 
-    async def _read_rest(self, attempt: attempts.Attempt) -> bytes:
+    async def _read_remaining(self, attempt: attempts.Attempt) -> bytes:
         """Return the remaining data of an answer; close it on any failure."""
         parts = []
         try:
@@ -421,21 +421,21 @@
                 f'{reply.agent} has restarted or is no longer a member;'
                 ' the call may have run'
             )
-        joined = attempts.Attempt(utils.fresh_id(), reply.agent)
-        self.attempts.add(joined)
+        attached = attempts.Attempt(utils.fresh_id(), reply.agent)
+        self.attempts.add(attached)
         connection = self._connection(reply.agent)
         attach = messages.Attach(
-            reply.attempt_id, reply.incarnation, joined.attempt_id
+            reply.attempt_id, reply.incarnation, attached.attempt_id
         )
         try:
             found = await connection.call(attach, REVOKE_TIMEOUT_S)
             if found.outcome != errors.RAN:
                 await self._release_claim(exchange, reply)
         except errors.MountridgeError:
-            self.attempts.remove(joined)
+            self.attempts.remove(attached)
             raise
         self.runners.record_sent(reply.agent, self.app.now_s())
-        return joined
+        return attached
 
     async def _release_claim(
         self, exchange: exchanges.Exchange, reply: messages.ClaimReply
--- a/mountridge/dispatch/links.py
+++ b/mountridge/dispatch/links.py
@@ -28,7 +28,7 @@
         self.frames_seq = 0
         self.ticket_seq = 0
         self.ticket_count = 0
-        #: Since when messages to it can't be sent; None if they can.
+        #: Since when sending to it has failed; None if it does not fail.
         self.blocked_since_s: float | None = None
 
     def count_ticket(self, seq: int, now_s: float) -> None:
@@ -41,7 +41,7 @@
 class Loss(typing.NamedTuple):
     """The losses that a report shows."""
 
-    old: bool  # the report is older than one applied before
+    outdated: bool  # the report is older than one applied before
     frames: bool
     tickets: list[str]  # attempts whose tickets may be lost
 
--- a/mountridge/dispatch/outboxes.py
+++ b/mountridge/dispatch/outboxes.py
@@ -13,7 +13,7 @@
 
 #: A gateway to which nothing can be sent for this long is removed.
 BLOCKED_TIMEOUT_S = 5.0
-#: Reports continue for this long after the last ticket, greeting or frame.
+#: Reports continue for this long after the last ticket, `WatchLoad` or frame.
 REPORT_AFTER_USE_S = 30.0
 
 
--- a/mountridge/dispatch/runners.py
+++ b/mountridge/dispatch/runners.py
@@ -34,8 +34,8 @@
         self.member = member
         self.first_seen_s = now_s
         self.load: messages.Load | None = None
-        #: The last report, or the first own request sent since none were
-        #: in flight.
+        #: Time of the last report, or of the first own request since none
+        #: were in flight, whichever is later.
         self.waiting_since_s = now_s
         self.load_received_s = -1e9
         self.own_requests = 0  # of this gateway, in flight
@@ -94,7 +94,7 @@
         if not state or state.member.incarnation != load.incarnation:
             return links.Loss(True, False, [])
         loss = state.link.apply_report(load, with_frames, now_s)
-        if loss.old:
+        if loss.outdated:
             return loss
         state.waiting_since_s = now_s
         state.load_received_s = now_s
--- a/mountridge/dispatch/upstreams.py
+++ b/mountridge/dispatch/upstreams.py
@@ -28,7 +28,7 @@
     def pieces(self) -> typing.AsyncIterator[bytes]:
         """Yield the body in pieces, up to its explicit end.
 
-        :raises BadAnswer: the body was cut off before its end.
+        :raises BadAnswer: the body was truncated.
         """
         return self._reply.chunks()
 
