--- a/features/worlds/core.py
+++ b/features/worlds/core.py
@@ -306,7 +306,7 @@
 
         async def run():
             try:
-                await self.entries[box].leader.call(put, entry.PUT_S)
+                await self.entries[box].leader.call(put, entry.PUT_TIMEOUT_S)
                 done.set()
             except errors.MountridgeError:
                 pass
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -24,20 +24,20 @@
 
 __all__ = ['Entry', 'build', 'run']
 
-#: Time-out of a change of routes, after which the operator repeats it. Above
+#: Timeout of a change of routes, after which the operator repeats it. Above
 #: an election, below the 4 s that operators wait.
-PUT_S = 3.0
+PUT_TIMEOUT_S = 3.0
 #: Below 1 s, after which a runner sends its heartbeat to another process.
-HEARTBEAT_S = 0.9
+HEARTBEAT_TIMEOUT_S = 0.9
 #: Callers cache the list of gateways for up to this many times its TTL.
 CACHED_TTLS = 3
 #: Largest fraction of a planned stop in which new requests are accepted; the
-#: rest is for their responses.
+#: remaining time is for their responses.
 ACCEPT_FRACTION = 0.4
 DRAIN_POLL_S = 0.05
 #: Bytes of the id in a malformed message that are logged.
 LOGGED_BYTES = 64
-#: Reserve for the shutdown within the time of a planned stop.
+#: Time reserved for the shutdown within the time of a planned stop.
 SHUTDOWN_RESERVE_S = 0.5
 
 
@@ -96,7 +96,7 @@
         self._drain_began_s = 0.0
         self.front = self.make_server(self.forwarder.handle)
         self._view_revision = -1
-        self._cold = 0
+        self._cold_count = 0
 
     def make_server(self, handler: httpserver.Handler) -> httpserver.Server:
         """Return a server with the limits and drain state of this process."""
@@ -179,14 +179,14 @@
         self._report_cold(registered)
 
     def _report_cold(self, registered: list[instances.Instance]) -> None:
-        """Log and gauge the number of cold runners if it has changed."""
+        """Log and export the number of cold runners if it has changed."""
         cold = sum(
             runner.is_cold and runner.state != instances.LEFT
             for runner in registered
         )
-        if cold == self._cold:
+        if cold == self._cold_count:
             return
-        self._cold = cold
+        self._cold_count = cold
         self.app.metrics.gauge('runners.cold', cold)
         logger.info(
             'cold runners',
@@ -218,8 +218,8 @@
 
     def _update_routes(self) -> None:
         newest = views.routes_in(self.lease.view)
-        known = self.index.table.version if self.index else 0
-        if newest.version <= known:
+        current = self.index.table.version if self.index else 0
+        if newest.version <= current:
             return
         try:
             source = routes.decompress(newest.source)
@@ -266,7 +266,7 @@
         """
         table = self.dialect.decode_routes(source)
         put = messages.PutRoutes(table.version, routes.compress(source))
-        reply = await self.leader.call(put, PUT_S)
+        reply = await self.leader.call(put, PUT_TIMEOUT_S)
         logger.info('routes put', version=table.version, held=reply.version)
         return reply.version
 
@@ -275,7 +275,7 @@
 
         :raises NoController: the newest one can't be determined.
         """
-        reply = await self.leader.call(messages.ReadRoutes(), PUT_S)
+        reply = await self.leader.call(messages.ReadRoutes(), PUT_TIMEOUT_S)
         if reply.version == 0:
             return None
         return routes.decompress(reply.source)
@@ -283,23 +283,23 @@
     async def heartbeat(self, heartbeat: messages.Heartbeat) -> None:
         """Send a runner's heartbeat to the leader.
 
-        :raises NoController: it may not have been recorded.
+        :raises NoController: the heartbeat may not have been recorded.
         """
-        await self.leader.call(heartbeat, HEARTBEAT_S)
+        await self.leader.call(heartbeat, HEARTBEAT_TIMEOUT_S)
 
     async def leave(self, instance_id: str, born_ms: int) -> None:
-        """Remove a runner that reports that it has left.
+        """Deregister a runner that reports that it has left.
 
-        The message names the incarnation known here, so that it does not
-        remove one that begins meanwhile.
+        The message names the incarnation known to this entry, so that it does
+        not remove one that begins meanwhile.
 
         :raises NoController: it may not have been recorded.
         :raises StaleHeartbeat: it may be of an earlier incarnation.
         """
-        known = self.backends.by_id.get(instance_id)
-        lives = known.instance.lives if known else 0
+        backend = self.backends.by_id.get(instance_id)
+        lives = backend.instance.lives if backend else 0
         leave = messages.Leave(instance_id, born_ms, lives)
-        await self.leader.call(leave, HEARTBEAT_S)
+        await self.leader.call(leave, HEARTBEAT_TIMEOUT_S)
 
     def record_malformed(
         self, raw_id: bytes, problem: errors.BadHeartbeat
@@ -330,20 +330,20 @@
     async def release(
         self, digest: bytes
     ) -> list[quarantines.QuarantinedRequest]:
-        """End a request's quarantine; return the remaining entries.
+        """Release a request; return the remaining quarantine entries.
 
-        :raises NoController: it may have been carried out, or not.
-        :raises NotHeldBack: the request is not known.
+        :raises NoController: the release may have been applied, or not.
+        :raises NotHeldBack: there is no such entry.
         """
         return await self.crash_reporter.release(digest)
 
     async def set_hall(self, name: str, is_out: bool) -> halls.HallState:
-        """Take a hall out of service, or put it back.
+        """Take a hall out of service, or restore it.
 
         :raises BadRequest: the name is malformed.
-        :raises UnknownHall: no hall of the deployment has it.
-        :raises NoController: it may have been carried out, or not.
-        :raises HallChanged: other orders for this hall came first.
+        :raises UnknownHall: no hall of the deployment has this name.
+        :raises NoController: the order may have been applied, or not.
+        :raises HallChanged: other orders for this hall were committed first.
         """
         return await self.hall_orders.set(name, is_out)
 
@@ -382,7 +382,7 @@
 
     async def _announce_drain(self) -> None:
         try:
-            await self.leader.call(self.renewal(), PUT_S)
+            await self.leader.call(self.renewal(), PUT_TIMEOUT_S)
         except errors.MountridgeError as problem:
             logger.warning('cannot announce the drain', reason=str(problem))
 
