--- a/mountridge/agent.py
+++ b/mountridge/agent.py
@@ -22,9 +22,10 @@
 #: Maximum number of ended attempts whose answers can be sent again.
 MAX_ENDED_ATTEMPTS = 1000
 OUTCOME_RETRY_S = 0.5
-#: Time after which a runner that announced its end is probed. Runners behind
-#: agents have no id, so only a request shows whether it has been replaced.
-#: Several times the grace period of a planned stop (`bounds.grace_s`).
+#: Time after which a runner that announced that it is leaving is probed.
+#: Runners behind agents have no id, so only a request shows whether it was
+#: replaced. Several times the grace period of a planned stop,
+#: `bounds.grace_s`.
 LEAVING_BACKOFF_S = 30.0
 
 
@@ -87,7 +88,7 @@
     def on_watch_load(
         self, peer, message: messages.WatchLoad
     ) -> messages.Load:
-        """Return the load, and send the gateway load reports for a while."""
+        """Return the load, and start sending load reports to the gateway."""
         return self.load(self.outbox.link(peer.route))
 
     def on_ticket(self, peer, ticket: messages.Ticket) -> None:
@@ -267,7 +268,7 @@
                 self._send_frame(attempt, data)
 
     def _apply_head(self, head: dialects.ReplyHead) -> None:
-        """Apply a requested backoff or an announced end of the runner.
+        """Apply a backoff or departure that the runner's answer announces.
 
         :raises RunnerRefused: the runner reports that it did not run the
             request.
@@ -286,8 +287,8 @@
         """Back off, and refuse what is queued so that other agents run it."""
         self.backoff_state.back_off(span_s, now_s)
         self.app.metrics.incr('rest.asked')
-        rest_ms = round((self.backoff_state.until_s - now_s) * 1000)
-        logger.info('runner requested a backoff', rest_ms=rest_ms)
+        backoff_ms = round((self.backoff_state.until_s - now_s) * 1000)
+        logger.info('runner requested a backoff', rest_ms=backoff_ms)
         for item in self.queue.pop_expired(math.inf):
             self._refuse(item.attempt_id, self._backoff_error(now_s))
         self.outbox.report_to_all()
@@ -362,7 +363,7 @@
             self.outbox.put(route, frame._replace(attempt_id=name))
 
     def load(self, link: links.GatewayLink) -> messages.Load:
-        """Return the present load, with the message counts for a gateway."""
+        """Return the current load, with the message counts for a gateway."""
         return messages.Load(
             self.app.name,
             self.app.incarnation,
@@ -422,7 +423,7 @@
         self._fail(attempt, problem)
         self._finish(attempt, errors.NOT_RUN)
 
-    # Life cycle.
+    # Lease and shutdown.
 
     def renewal(self) -> messages.Renew:
         """Return the request that renews the lease."""
--- a/mountridge/gateway.py
+++ b/mountridge/gateway.py
@@ -94,18 +94,18 @@
     # Requests.
 
     async def begin(
-        self, exchange: exchanges.Exchange, whole: bool = False
+        self, exchange: exchanges.Exchange, buffered: bool = False
     ) -> tuple[attempts.Attempt, bytes]:
         """Pass a request through the filters and run it.
 
         Returns the attempt and the first data of the answer, or the complete
-        answer if ``whole``.
+        answer if ``buffered``.
         """
         try:
             for apply_filter in self.filters:
                 apply_filter(exchange, self.app.now_s())
             await self._admit(exchange)
-            return await self.dispatcher.run(exchange, whole)
+            return await self.dispatcher.run(exchange, buffered)
         except errors.MountridgeError as problem:
             if exchange.may_have_run and problem.outcome == errors.NOT_RUN:
                 # This one did not run, but an earlier one of its key may have.
@@ -301,7 +301,7 @@
             exchange.service, streamed = _chat_model(exchange.body)
         else:
             exchange.service = _service_in_path(path)
-        attempt, first = await gateway.begin(exchange, whole=not streamed)
+        attempt, first = await gateway.begin(exchange, buffered=not streamed)
         headers = {'x-request-id': request_id}
         if streamed:
             streaming = True
