--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -208,7 +208,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(stand_in.run)
                 while self.leader is leader:
-                    await trio.sleep(remoteranks.CHECK_S)
+                    await trio.sleep(remoteranks.CHECK_INTERVAL_S)
                 nursery.cancel_scope.cancel()
 
     def remote_engine(self, instance_id):
--- a/mountridge/remoteranks.py
+++ b/mountridge/remoteranks.py
@@ -2,11 +2,11 @@
 
 """Calls of the leader to engines whose sidecars are unresponsive.
 
-A group would wait for ever for a held step that no sidecar releases, or for a
-rank that does not carry out its part of a map change. So the leader reports
-for a rank and sends its orders over the network while its sidecar is dead,
-frozen or partitioned. State read this way may be some 100 ms old, which map
-changes tolerate.
+A group would wait indefinitely for a held step that no sidecar releases, or
+for a rank that does not carry out its part of a map change. So the leader
+reads the state of a rank and sends its orders over the network while its
+sidecar is stopped, suspended or partitioned. State read this way may be some
+100 ms old, which map changes tolerate.
 """
 
 import typing
@@ -24,7 +24,7 @@
 #: overdue for this long. Sidecars report within 0.03 s of an order.
 UNRESPONSIVE_S = 0.4
 #: Interval of the checks for unresponsive sidecars.
-CHECK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 
 Connect = typing.Callable[[str], sidecar.Engine | None]
 
@@ -35,17 +35,17 @@
     def __init__(
         self,
         app: application.Application,
-        known_groups: groups.Groups,
+        groups: groups.Groups,
         connect: Connect,
     ):
         self.app = app
-        self.groups = known_groups
+        self.groups = groups
         self._connect = connect
 
     async def run(self) -> None:
         """Replace unresponsive sidecars while this process leads."""
         while True:
-            await trio.sleep(CHECK_S)
+            await trio.sleep(CHECK_INTERVAL_S)
             last_reports = self.groups.unresponsive_ranks(
                 UNRESPONSIVE_S, self.app.now_s()
             )
--- a/mountridge/sidecar.py
+++ b/mountridge/sidecar.py
@@ -21,24 +21,24 @@
 
 #: Interval of the engine checks while it carries out an order. Only changes
 #: are reported, so the leader has no extra load.
-FAST_CHECK_S = 0.025
+FAST_CHECK_INTERVAL_S = 0.025
 #: How long after an order the engine is checked at that interval.
 FAST_CHECK_FOR_S = 1.0
 #: Interval of the engine checks while the rank is armed. While it is armed or
 #: carries out an order, reports are at most the interval of the settings
 #: apart: a newly elected leader learns of a held step only from them, and
 #: replaces a sidecar that is unresponsive for 0.4 s.
-ARMED_CHECK_S = 0.05
+ARMED_CHECK_INTERVAL_S = 0.05
 #: Counts, which are most of a report's bytes, are sent at most once per
 #: report interval. The fraction allows for early timers.
 COUNTS_FRACTION = 0.8
 #: An order that is received again within this time, pushed and in the reply
 #: to a report, is carried out once.
 DUPLICATE_S = 0.05
-#: Time-out of a report, after which the leader is determined again.
+#: Timeout of a report, after which the leader is determined again.
 REPORT_TIMEOUT_S = 0.8
-#: Maps kept as the base of the next one: the leader may not know yet that the
-#: newest was received.
+#: Number of newest maps kept as the base of the next one: the leader may not
+#: know yet that the newest was received.
 KEPT_MAPS = 2
 #: Outcome, in the log, of an order that the engine has accepted.
 ACCEPTED = 'taken'
@@ -51,7 +51,7 @@
         """Return the engine's current state."""
 
     async def counts(self) -> list[int]:
-        """Return how often each expert was chosen since the epoch began."""
+        """Return how often each expert was selected since the epoch began."""
 
     async def experts(self) -> list[list[int]]:
         """Return the experts that the engine holds, by set of layers."""
@@ -145,7 +145,7 @@
         self._wake = trio.Event()
 
     async def run(self) -> None:
-        """Check the engine and report its state for ever."""
+        """Check the engine and report its state until the process stops."""
         while True:
             began_s = self.app.now_s()
             pause_s = self._default_interval_s
@@ -155,7 +155,9 @@
                 self.app.metrics.incr(f'report.failed.{problem.code}')
                 logger.debug('report failed', reason=str(problem))
             took_s = self.app.now_s() - began_s
-            with trio.move_on_after(max(FAST_CHECK_S / 2, pause_s - took_s)):
+            with trio.move_on_after(
+                max(FAST_CHECK_INTERVAL_S / 2, pause_s - took_s)
+            ):
                 await self._wake.wait()
             self._wake = trio.Event()
 
@@ -174,16 +176,18 @@
         if state.armed != ranks.NO_VERSION or self._is_pending(state, now_s):
             longest_s = min(longest_s, self._default_interval_s)
         # Slightly early rather than one check late.
-        return now_s - self._reported_s >= longest_s - FAST_CHECK_S / 2
+        return (
+            now_s - self._reported_s >= longest_s - FAST_CHECK_INTERVAL_S / 2
+        )
 
     def _pause_s(self, state: ranks.RankState, now_s: float) -> float:
         """Return the time until the next check."""
         if self._report_each_step:
-            return FAST_CHECK_S
+            return FAST_CHECK_INTERVAL_S
         if state.armed != ranks.NO_VERSION:
-            return ARMED_CHECK_S
+            return ARMED_CHECK_INTERVAL_S
         if self._is_pending(state, now_s):
-            return FAST_CHECK_S
+            return FAST_CHECK_INTERVAL_S
         return max(0.0, self._reported_s + self._interval_s - now_s)
 
     def _is_pending(self, state: ranks.RankState, now_s: float) -> bool:
@@ -205,9 +209,9 @@
     async def _report(self, state: ranks.RankState) -> None:
         new_counts = await self._new_counts(state)
         experts = self._experts if self._send_experts else []
-        known = next(reversed(self._maps), ranks.NO_VERSION)
+        newest_map = next(reversed(self._maps), ranks.NO_VERSION)
         report = messages.RankReport(
-            self._instance_id, state, experts, new_counts, known
+            self._instance_id, state, experts, new_counts, newest_map
         )
         # Before the call, so that a lost report is repeated in time.
         self._reported_s = self.app.now_s()
@@ -233,7 +237,7 @@
         try:
             await self._execute(pushed.term, pushed.order, pushed.packed)
         except errors.BadMessage as problem:
-            # The next report names the newest map known here.
+            # The next report names the newest map that this sidecar has.
             logger.warning('order rejected', reason=str(problem))
             self._reported = None
             self._wake.set()
@@ -266,20 +270,20 @@
     def _unpack(
         self, order: ranks.RankOrder, packed: mapdeltas.PackedMap
     ) -> ranks.Placement:
-        """Return the map that came with an order, and keep it.
+        """Return the map that was sent with an order, and keep it.
 
         :raises BadMessage: it is malformed, or its base is not known here.
         """
         if order.version in self._maps:
             return self._maps[order.version]
-        known = self._maps.get(packed.base, [])
-        if not known and packed.base != ranks.NO_VERSION:
+        base_map = self._maps.get(packed.base, [])
+        if not base_map and packed.base != ranks.NO_VERSION:
             raise errors.BadMessage(f'unknown base map {packed.base}')
-        placed = mapdeltas.unpack(packed, known)
+        placement = mapdeltas.unpack(packed, base_map)
         while len(self._maps) >= KEPT_MAPS:
             del self._maps[next(iter(self._maps))]
-        self._maps[order.version] = placed
-        return placed
+        self._maps[order.version] = placement
+        return placement
 
     async def _update_epoch(self, state: ranks.RankState) -> None:
         """Reset what is valid for one epoch and incarnation only."""
@@ -299,7 +303,7 @@
             self._map_version = state.map_version
 
     async def _new_counts(self, state: ranks.RankState) -> demand.PackedCounts:
-        """Return the choices since the previous counts, none if not due."""
+        """Return the selections since the previous counts, none if not due."""
         now_s = self.app.now_s()
         is_due = now_s - self._counted_s >= COUNTS_FRACTION * self._interval_s
         is_wanted = self._send_counts and state.group and state.is_open
