--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -317,7 +317,7 @@
 def _make_plannable(context, search):
     """Give the group enough demand, and run ``search`` to find its plans."""
     group = context.leader.groups.by_name['g']
-    group.demand.mean = [1.0 * mapplanning.LEAST_CHOICES]
+    group.demand.mean = [1.0 * mapplanning.MIN_SELECTIONS]
     planner = context.leader.groups.planner
     planner._engine_parameters = lambda _: mapplans.EngineParameters(
         PLACES, 2, EXPERTS
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -115,7 +115,7 @@
             return
         if world.delaying:
             world.nursery.start_soon(self._follow_delayed, order)
-        await trio.sleep(engines.ORDER_S)
+        await trio.sleep(engines.ORDER_TIMEOUT_S)
         raise errors.OutcomeUnknown('no response')
 
     async def _follow_delayed(self, order):
--- a/mountridge/experts/demand.py
+++ b/mountridge/experts/demand.py
@@ -76,15 +76,15 @@
         """Return whether the mean only has counts since the last shift."""
         return bool(self.mean) and not self.is_shifting
 
-    def record(self, choices: PackedCounts, now_s: float) -> bool:
+    def record(self, counts: PackedCounts, now_s: float) -> bool:
         """Add the counts of one report; return whether demand shifted."""
-        levels, scale = choices.levels, choices.scale
+        levels, scale = counts.levels, counts.scale
         if len(self._window) != len(levels):
             self._window = [0.0] * len(levels)
             self.mean = []
             self._window_start_s = now_s
-        # Unpacks and adds in one pass over the list: the leader handles
-        # dozens of reports per second with thousands of counts each.
+        # Unpacks and adds in one iteration: the leader handles dozens of
+        # reports per second with thousands of counts each.
         self._window = [a + scale * b for a, b in zip(self._window, levels)]
         if now_s - self._window_start_s < SPAN_S:
             return False
--- a/mountridge/experts/mapchanges.py
+++ b/mountridge/experts/mapchanges.py
@@ -61,7 +61,7 @@
 
 
 def find_change(states: list[ranks.RankState]) -> Change | None:
-    """Return the change that an earlier leader left with a pass held.
+    """Return the change that an earlier leader began and whose pass is held.
 
     A pass is held only after all ranks have prepared the map, so the
     prepared version is the version of the change.
--- a/mountridge/experts/mapdeltas.py
+++ b/mountridge/experts/mapdeltas.py
@@ -28,7 +28,7 @@
 class PackedMap(typing.NamedTuple):
     """A map as a compressed difference to the map of version ``base``."""
 
-    base: int  # NO_VERSION: the whole map
+    base: int  # NO_VERSION: the complete map
     sets: int
     ranks: int
     slots: int  # of the rank with the most experts
@@ -39,25 +39,25 @@
 
 
 def pack(
-    placement: ranks.Placement, base: int, known: ranks.Placement
+    placement: ranks.Placement, base: int, base_map: ranks.Placement
 ) -> PackedMap:
-    """Return ``placement`` as a difference to ``known`` of version ``base``.
+    """Return ``placement`` as a difference to ``base_map``, version ``base``.
 
-    If the receiver has no map, ``known`` is [] and ``base`` is NO_VERSION.
+    If the receiver has no map, ``base_map`` is [] and ``base`` is NO_VERSION.
     """
     slots = max(len(experts) for by_rank in placement for experts in by_rank)
     data = _serialize(placement, slots)
-    if known:
-        data = _xor(data, _serialize(known, slots))
+    if base_map:
+        data = _xor(data, _serialize(base_map, slots))
     packed = zlib.compress(data, COMPRESSION_LEVEL)
     return PackedMap(base, len(placement), len(placement[0]), slots, packed)
 
 
-def unpack(packed: PackedMap, known: ranks.Placement) -> ranks.Placement:
-    """Return the map; ``known`` is the map of version ``packed.base``.
+def unpack(packed: PackedMap, base_map: ranks.Placement) -> ranks.Placement:
+    """Return the map; ``base_map`` is the map of version ``packed.base``.
 
     :raises BadMessage: the data does not match the size in the message, or
-        ``known`` has other dimensions.
+        ``base_map`` has other dimensions.
     """
     size = packed.sets * packed.ranks * packed.slots * 2
     if not 0 < size <= MAX_BYTES:
@@ -75,12 +75,12 @@
         raise errors.BadMessage(
             f'expert map has the wrong length: {len(data)} of {size} bytes'
         )
-    if known:
-        if (len(known), len(known[0])) != (packed.sets, packed.ranks):
+    if base_map:
+        if (len(base_map), len(base_map[0])) != (packed.sets, packed.ranks):
             raise errors.BadMessage(
                 'expert map does not match the dimensions of the known map'
             )
-        data = _xor(data, _serialize(known, packed.slots))
+        data = _xor(data, _serialize(base_map, packed.slots))
     return _deserialize(data, packed)
 
 
--- a/mountridge/experts/mapsearch.py
+++ b/mountridge/experts/mapsearch.py
@@ -72,7 +72,7 @@
     """The time of each rank for one load, and the norm of these times.
 
     A rank with an infinite slowdown is to hold no experts; those that it
-    still holds can't be moved and are left out of the norm.
+    still holds can't be moved and are excluded from the norm.
     """
 
     def __init__(
@@ -299,21 +299,22 @@
     are made in the order of their gain, whatever their set; each must lower
     the norm of the rank loads by ``min_gain``. During the search an empty
     slot holds an extra expert without load. A rank with an infinite slowdown
-    neither receives nor passes on experts. Experts are new to a rank if they
-    are not in ``in_use``, the current maps, from which ``placement`` may
-    differ.
+    is excluded from all moves. Experts are new to a rank if they are not in
+    ``in_use``, the current maps, from which ``placement`` may differ.
     """
     empty = len(load[0])
     budget = CopyBudget(len(slowdowns), max_new_total)
     searches = []
-    for by_rank, set_load, known in zip(placement, load, in_use):
+    for by_rank, set_load, current in zip(placement, load, in_use):
         full = tuple(
             tuple(experts) + (empty,) * (slots - len(experts))
             for experts in by_rank
         )
         set_load = set_load + [0.0]
         loads = Loads(set_load, set_load)
-        search = Search(full, loads, max_new, empty, slowdowns, known, budget)
+        search = Search(
+            full, loads, max_new, empty, slowdowns, current, budget
+        )
         for rank in range(len(slowdowns)):
             budget.used[rank] += search.new_counts[rank]
         searches.append(search)
--- a/mountridge/experts/ranks.py
+++ b/mountridge/experts/ranks.py
@@ -79,7 +79,7 @@
     _check_range('size', [state.size], 1, MAX_RANKS)
     requests = [state.running, state.waiting]
     _check_range('requests', requests, 0, MAX_REQUESTS)
-    _check_range('pace', [state.slowdown], 0, MAX_SLOWDOWN)
+    _check_range('slowdown', [state.slowdown], 0, MAX_SLOWDOWN)
     numbers = [state.epoch, state.step, state.memory_tokens, state.born_ms]
     _check_range('number', numbers, 0, MAX_NUMBER)
     versions = [state.map_version, state.prepared, state.armed]
--- a/mountridge/groups/engines.py
+++ b/mountridge/groups/engines.py
@@ -17,15 +17,15 @@
 from mountridge.net import dialects, lasthop
 
 __all__ = [
-    'EngineCalls', 'NativeEngine', 'ORDER_S', 'instance_id_from', 'connect',
-    'connect_to',
+    'EngineCalls', 'NativeEngine', 'ORDER_TIMEOUT_S', 'connect', 'connect_to',
+    'instance_id_from',
 ]  # fmt: skip
 
 #: Timeout of a call; the engine is usually on the same box.
-CALL_S = 0.5
-#: Timeout of an order, which is sent again then: orders are idempotent. Short,
+CALL_TIMEOUT_S = 0.5
+#: Timeout of an order, which is then sent again: orders are idempotent. Short,
 #: since all ranks wait for the last one to be armed while a pass is held.
-ORDER_S = 0.06
+ORDER_TIMEOUT_S = 0.06
 STATE = b'/v1/state'
 COUNTS = b'/v1/counts'
 EXPERTS = b'/v1/experts'
@@ -48,7 +48,7 @@
         method: bytes,
         target: bytes,
         body: bytes = b'',
-        timeout_s: float = CALL_S,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> tuple[dialects.ReplyHead, bytes]:
         """Send one request and return the head and body of the response.
 
@@ -89,7 +89,7 @@
         :raises RefusedChange: the order does not fit the engine's state.
         :raises OutcomeUnknown: the order may be carried out, now or later.
         """
-        head, answer = await self.call(b'POST', target, body, ORDER_S)
+        head, answer = await self.call(b'POST', target, body, ORDER_TIMEOUT_S)
         if head.status >= 500:
             raise errors.OutcomeUnknown(
                 f'engine returned status {head.status}'
@@ -106,9 +106,9 @@
 
     :raises BadAnswer: the id is missing or invalid.
     """
-    wrong = instances.id_error(head.instance_id or '')
-    if wrong:
-        raise errors.BadAnswer(f'response has no valid runner id: {wrong}')
+    problem = instances.id_error(head.instance_id or '')
+    if problem:
+        raise errors.BadAnswer(f'response has no valid runner id: {problem}')
     return head.instance_id
 
 
@@ -123,13 +123,13 @@
         return ranks.check_state(await self._calls.read(STATE, _STATE))
 
     async def counts(self) -> list[int]:
-        """Return how often each expert was chosen since the engine started."""
+        """Return how often each expert was selected since the start."""
         return ranks.check_counts(await self._calls.read(COUNTS, _COUNTS))
 
     async def experts(self) -> list[list[int]]:
         """Return the experts that the engine holds, by set of layers."""
-        held = await self._calls.read(EXPERTS, _EXPERTS)
-        return ranks.check_experts(held)
+        by_set = await self._calls.read(EXPERTS, _EXPERTS)
+        return ranks.check_experts(by_set)
 
     async def instance_id(self) -> str:
         """Return the id under which the engine's runner is registered."""
--- a/mountridge/groups/groups.py
+++ b/mountridge/groups/groups.py
@@ -20,10 +20,10 @@
 
 __all__ = ['Groups']
 
-#: How long a hold sent by another box may take to appear in the rank's report,
-#: some report intervals; after that the order goes to the rank's own sidecar.
+#: Time for a hold sent by another box to appear in the rank's report, some
+#: report intervals; after that the order goes to the rank's own sidecar.
 REMOTE_HOLD_S = 0.15
-#: Up to this many ranks all report at the interval of the settings.
+#: Up to this number of ranks, all report at the interval of the settings.
 FEW_RANKS = 32
 #: Report intervals with more ranks: of ranks that report counts, short enough
 #: to detect a shift of demand soon, and of the others, whose loads gateways
@@ -156,8 +156,8 @@
 
     def _report_interval_s(self, group: rankgroups.Group, rank: int) -> float:
         """Return a rank's report interval; 0 for that of the settings."""
-        known = sum(len(each.reports) for each in self.by_name.values())
-        if known <= FEW_RANKS:
+        reporting = sum(len(each.reports) for each in self.by_name.values())
+        if reporting <= FEW_RANKS:
             return 0.0
         return (
             COUNTS_INTERVAL_S
@@ -288,15 +288,15 @@
         self,
         group: rankgroups.Group,
         order: ranks.RankOrder | None,
-        known: int,
+        known_map: int,
     ) -> mapdeltas.PackedMap:
-        """Return the map of an order, packed against the map ``known``.
+        """Return the map of an order, packed against ``known_map``.
 
-        The whole map is packed if this leader does not have ``known``.
+        The complete map is packed if this leader does not have that version.
         """
         if order is None or order.kind != ranks.PREPARE:
             return mapdeltas.NO_MAP
-        base = known if known in group.maps else ranks.NO_VERSION
+        base = known_map if known_map in group.maps else ranks.NO_VERSION
         key = (order.version, base)
         if key not in self._packed:
             while len(self._packed) >= KEPT_PACKED:
--- a/mountridge/groups/mapplanning.py
+++ b/mountridge/groups/mapplanning.py
@@ -19,9 +19,9 @@
 #: Minimum time between a search that started no change and the next one. A
 #: search takes CPU time on the leader; the demand estimate improves slowly.
 FUTILE_S = 0.25
-#: Expert choices counted since the last shift of demand, below which no search
+#: Expert selections counted since the last demand shift, below which no search
 #: is made: an idle group gains nothing from a new map.
-LEAST_CHOICES = 10000
+MIN_SELECTIONS = 10000
 #: Number of newest maps kept, as bases for packing later ones.
 KEPT_MAPS = 3
 
@@ -65,11 +65,11 @@
     def consider_change(
         self, instance_id: str, group: rankgroups.Group, now_s: float
     ) -> None:
-        """Resume a change left by another leader, or search for a new one.
+        """Resume a change begun by another leader, or search for a new one.
 
         The search runs as a task of its own, so that the report that triggered
         it is answered at once: a search may take longer than a sidecar waits
-        for the answer before it looks for another leader.
+        for the answer before it determines the leader again.
         """
         may_plan = now_s >= group.next_plan_s and group.demand.is_settled
         if not (may_plan or group.has_held_pass) or not group.is_complete(
@@ -87,7 +87,10 @@
         engine_parameters = self._engine_parameters(instance_id)
         if not may_plan or not group.knows_all_experts():
             return
-        if engine_parameters is None or sum(group.demand.mean) < LEAST_CHOICES:
+        if (
+            engine_parameters is None
+            or sum(group.demand.mean) < MIN_SELECTIONS
+        ):
             return
         group.planning = True
         # A shift detected during the search makes its plan outdated.
--- a/mountridge/groups/rankgroups.py
+++ b/mountridge/groups/rankgroups.py
@@ -20,17 +20,17 @@
 
 #: A rank whose last report is older than this is unknown; while one is, no
 #: change begins or proceeds.
-REPORT_OLD_S = 2.0
-#: Least time between two checks of all ranks of an incomplete group.
+REPORT_STALE_S = 2.0
+#: Minimum time between two checks of all ranks of an incomplete group.
 CHECK_INTERVAL_S = 0.02
 #: Window of recent forward passes over which their duration is averaged;
 #: longer than one pass, short enough to notice a slow rank soon.
 PASSES_S = 0.5
 #: Maximum number of ranks of a group that report counts. Requests to all ranks
-#: choose experts alike, and counts are most of a report's bytes.
-MOST_COUNTING = 16
+#: select experts alike, and counts are most of a report's bytes.
+MAX_COUNTING_RANKS = 16
 #: Number of ranks that report each pass while a change is in progress.
-WATCHING = 2
+PASS_REPORTING_RANKS = 2
 
 
 class Contact(typing.NamedTuple):
@@ -59,7 +59,7 @@
         #: Whether demand has shifted since the current change was planned.
         self.outdated = False
         self.planning = False
-        #: Step of the last hold that another box was to order, and when.
+        #: Step of the last hold sent by another box, and its time.
         self.remote_hold = (ranks.NO_VERSION, 0.0)
         #: Phase, version and step last announced to the ranks, and when.
         self.announced: tuple[mapchanges.Phase, int, int] | None = None
@@ -96,8 +96,8 @@
         if self.progress is not None:
             self.progress.record(state)
         self._record_pass(state.step, now_s)
-        choices = report.counts
-        if choices.levels and self.demand.record(choices, now_s):
+        counts = report.counts
+        if counts.levels and self.demand.record(counts, now_s):
             self.outdated = True
             self.next_plan_s = now_s
             logger.info('demand shifted', group=state.group, step=state.step)
@@ -123,11 +123,11 @@
     def _with_experts(
         self, report: messages.RankReport
     ) -> messages.RankReport:
-        """Return a report completed by the experts reported earlier."""
-        known = self.reports.get(report.state.rank)
-        if report.experts or known is None:
+        """Return a report completed with the experts reported earlier."""
+        entry = self.reports.get(report.state.rank)
+        if report.experts or entry is None:
             return report
-        previous = known[0]
+        previous = entry[0]
         if previous.state.map_version != report.state.map_version:
             return report
         if previous.state.born_ms != report.state.born_ms:
@@ -174,12 +174,12 @@
         if len(self.reports) < self.size:
             return None
         oldest_s = min(received_s for _, received_s in self.reports.values())
-        if now_s - oldest_s >= REPORT_OLD_S:
+        if now_s - oldest_s >= REPORT_STALE_S:
             return None
         states = [self.reports[rank][0].state for rank in sorted(self.reports)]
         if not all(state.is_open for state in states):
             return None
-        self._complete_until_s = oldest_s + REPORT_OLD_S
+        self._complete_until_s = oldest_s + REPORT_STALE_S
         return states
 
     @property
@@ -210,16 +210,16 @@
 
     def reports_each_pass(self, rank: int) -> bool:
         """Return whether a rank has to report each pass now."""
-        return self.is_busy and rank < WATCHING
+        return self.is_busy and rank < PASS_REPORTING_RANKS
 
     def reports_counts(self, rank: int) -> bool:
-        """Return whether a rank has to report which experts are chosen."""
-        return rank % math.ceil(max(1, self.size) / MOST_COUNTING) == 0
+        """Return whether a rank has to report which experts are selected."""
+        return rank % math.ceil(max(1, self.size) / MAX_COUNTING_RANKS) == 0
 
     def knows_experts(self, rank: int) -> bool:
         """Return whether the experts that a rank holds now are known."""
-        known = self.reports.get(rank)
-        return known is not None and bool(known[0].experts)
+        entry = self.reports.get(rank)
+        return entry is not None and bool(entry[0].experts)
 
     def knows_all_experts(self) -> bool:
         """Return whether the experts of all reporting ranks are known."""
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -455,12 +455,12 @@
     ),
     Mutant(
         'maps: no delta encoding of maps', 'groups',
-        'base = known if known in group.maps else ranks.NO_VERSION',
+        'base = known_map if known_map in group.maps else ranks.NO_VERSION',
         'base = ranks.NO_VERSION', 'manyranks', '',
     ),
     Mutant(
         'maps: no limit on the ranks that count choices', 'rankgroups',
-        'return rank % math.ceil(max(1, self.size) / MOST_COUNTING) == 0',
+        'return rank % math.ceil(max(1, self.size) / MAX_COUNTING_RANKS) == 0',
         'return True', 'manyranks',
     ),
     Mutant(
