--- a/mountridge/dispatch/placing.py
+++ b/mountridge/dispatch/placing.py
@@ -3,7 +3,7 @@
 """Selects the runner for a request, as a pure function of its arguments.
 
 The load of a runner is estimated from its last report and the requests that
-this gateway has started and seen end since. The less loaded of two runners
+this gateway has started and ended since. The less loaded of two runners
 drawn at random is selected, so that gateways with equally old reports do not
 all send to the same one.
 """
--- a/mountridge/routing/backends.py
+++ b/mountridge/routing/backends.py
@@ -46,7 +46,7 @@
 #: Processing the prompt again takes about two forward passes.
 MIGRATE_SLOWDOWN = 2.0
 #: Occupancy that a hop to another hall is worth: traffic between halls is
-#: charged for, while its delay is small beside the time to a first token.
+#: charged for, while its delay is small compared to a time to first token.
 HALL_COST = 0.05
 #: Occupancy added for a cold runner, which is slower: in a group all ranks
 #: wait for the slowest.
@@ -155,7 +155,7 @@
         """Record that a rank did not run a request.
 
         A rank with free slots refuses because its group is closed, or because
-        another runner has taken its address, which closes the group until
+        another runner uses its address now, which closes the group until
         that one has joined. The refusal then counts for all known ranks of
         the group; ranks whose group is unknown count as one group.
         """
@@ -508,7 +508,7 @@
 
         ``ahead`` other requests are sent before it. This is a lower bound: it
         includes runners that refuse or fail at present and those whose
-        address another runner has taken, which will register again.
+        address another runner uses now, which will register again.
         """
         runners = [
             backend.instance
--- a/mountridge/routing/backoffs.py
+++ b/mountridge/routing/backoffs.py
@@ -3,8 +3,8 @@
 """Backoffs and announced departures of all runners, for one gateway.
 
 The states are kept by incarnation of a runner and apart from its registration,
-which may be lost and come back while they hold. They apply to requests of the
-gateway that received them, and to no other.
+which may be removed and restored while they are valid. They apply to requests
+of the gateway that received them, and to no other.
 """
 
 from mountridge.documents import instances
--- a/mountridge/routing/choosing.py
+++ b/mountridge/routing/choosing.py
@@ -21,7 +21,7 @@
 ) -> Backend:
     """Return the runner for a request that follows ``preceding`` others.
 
-    Assumes that each of them goes to the runner of least cost, ties broken
+    Assumes that each of them is sent to the runner of least cost, ties broken
     at random, and raises that cost by one slot's share.
     """
     heap = [(cost(b), rng.random(), n) for n, b in enumerate(backends)]
--- a/mountridge/routing/warmup.py
+++ b/mountridge/routing/warmup.py
@@ -290,5 +290,5 @@
 
 
 def _ownership_key(runner: instances.Instance) -> tuple[str, str, str]:
-    """Return what determines the owners of a runner, beside the gateways."""
+    """Return what determines the owners of a runner, besides the gateways."""
     return runner.instance_id, runner.service, runner.hall
