--- a/features/worlds/core.py
+++ b/features/worlds/core.py
@@ -207,7 +207,7 @@
         ]
         now_s = trio.current_time()
         if not leader or not all(
-            self.entries[name].held.is_valid(now_s) for name in reachable
+            self.entries[name].lease.is_valid(now_s) for name in reachable
         ):
             return False
         config = self.config()
@@ -306,7 +306,7 @@
 
         async def run():
             try:
-                await self.entries[box].leader.call(put, entry.PUT_S)
+                await self.entries[box].leader.call(put, entry.PUT_TIMEOUT_S)
                 done.set()
             except errors.MountridgeError:
                 pass
--- a/mountridge/dispatch/placing.py
+++ b/mountridge/dispatch/placing.py
@@ -3,7 +3,7 @@
 """Selects the runner for a request, as a pure function of its arguments.
 
 The load of a runner is estimated from its last report and the requests that
-this gateway has started and seen end since. The less loaded of two runners
+this gateway has started and ended since. The less loaded of two runners
 drawn at random is selected, so that gateways with equally old reports do not
 all send to the same one.
 """
@@ -18,7 +18,7 @@
 #: Occupancy that a hop to another hall costs.
 HALL_COST = 0.1
 #: A report older than this is ignored, and only own requests count. Agents
-#: report each 0.25 s.
+#: report every 0.25 s.
 REPORT_STALE_S = 0.5
 #: Time until a new runner gets its full share of requests.
 SLOW_START_S = 10.0
@@ -31,10 +31,10 @@
     name: str
     hall: str
     slots: int
-    reported: int  # running and waiting at the last report
+    reported_requests: int  # running and waiting at the last report
     report_age_s: float
-    own_since: int  # own requests started less ended since that report
-    own: int  # own requests in flight there
+    own_since_report: int  # started less ended since that report
+    own_requests: int  # of this gateway, in flight there
     slowness: float  # mean time to first data over that of its peers
     ejected: bool
     age_s: float  # since this gateway first saw the runner
@@ -50,9 +50,12 @@
 def occupancy(candidate: Candidate) -> float:
     """Return the estimated requests per slot."""
     if candidate.report_age_s > REPORT_STALE_S:
-        load = candidate.own
+        load = candidate.own_requests
     else:
-        load = max(candidate.own, candidate.reported + candidate.own_since)
+        load = max(
+            candidate.own_requests,
+            candidate.reported_requests + candidate.own_since_report,
+        )
     return load / candidate.slots
 
 
--- a/mountridge/entry.py
+++ b/mountridge/entry.py
@@ -24,20 +24,20 @@
 
 __all__ = ['Entry', 'build', 'run']
 
-#: Time-out of a change of routes, after which the operator repeats it. Above
+#: Timeout of a change of routes, after which the operator repeats it. Above
 #: an election, below the 4 s that operators wait.
-PUT_S = 3.0
+PUT_TIMEOUT_S = 3.0
 #: Below 1 s, after which a runner sends its heartbeat to another process.
-HEARTBEAT_S = 0.9
+HEARTBEAT_TIMEOUT_S = 0.9
 #: Callers cache the list of gateways for up to this many times its TTL.
 CACHED_TTLS = 3
 #: Largest fraction of a planned stop in which new requests are accepted; the
-#: rest is for their responses.
+#: remaining time is for their responses.
 ACCEPT_FRACTION = 0.4
 DRAIN_POLL_S = 0.05
 #: Bytes of the id in a malformed message that are logged.
 LOGGED_BYTES = 64
-#: Reserve for the shutdown within the time of a planned stop.
+#: Time reserved for the shutdown within the time of a planned stop.
 SHUTDOWN_RESERVE_S = 0.5
 
 
@@ -58,10 +58,10 @@
         self.dialect = dialect
         self._connect = connect
         self.settings = app.settings['entry']
-        self.held = leases.HeldLease()
+        self.lease = leases.HeldLease()
         self.leader = members.LeaderClient(app, self._on_push)
-        self.keeper = members.LeaseRenewer(
-            app, self.leader, self.held, self._renewal
+        self.lease_renewer = members.LeaseRenewer(
+            app, self.leader, self.lease, self.renewal
         )
         bounds = app.settings['bounds']
         self.backends = backends.Backends(
@@ -96,7 +96,7 @@
         self._drain_began_s = 0.0
         self.front = self.make_server(self.forwarder.handle)
         self._view_revision = -1
-        self._cold = 0
+        self._cold_count = 0
 
     def make_server(self, handler: httpserver.Handler) -> httpserver.Server:
         """Return a server with the limits and drain state of this process."""
@@ -108,7 +108,8 @@
 
     # Lease, and state derived from the view.
 
-    def _renewal(self) -> messages.Renew:
+    def renewal(self) -> messages.Renew:
+        """Return the request that renews the lease."""
         return messages.Renew(
             self.app.name,
             'gateway',
@@ -119,7 +120,7 @@
             [],
             '',
             0,
-            self.held.view.index,
+            self.lease.view.index,
             self.draining,
             [],
             [],
@@ -127,8 +128,8 @@
 
     def _on_push(self, message: typing.Any) -> None:
         if isinstance(message, messages.Changes):
-            if self.held.apply_changes(message):
-                self.keeper.wake()
+            if self.lease.apply_changes(message):
+                self.lease_renewer.wake()
                 self.apply_view()
         elif isinstance(message, messages.Loads):
             now_s = self.app.now_s()
@@ -155,7 +156,7 @@
 
     def apply_view(self, *_: typing.Any, **__: typing.Any) -> None:
         """Update the state that is derived from the view."""
-        view = self.held.view
+        view = self.lease.view
         if view.revision == self._view_revision:
             return
         self._view_revision = view.revision
@@ -178,24 +179,24 @@
         self._report_cold(registered)
 
     def _report_cold(self, registered: list[instances.Instance]) -> None:
-        """Log and gauge the number of cold runners if it has changed."""
+        """Log and export the number of cold runners if it has changed."""
         cold = sum(
             runner.is_cold and runner.state != instances.LEFT
             for runner in registered
         )
-        if cold == self._cold:
+        if cold == self._cold_count:
             return
-        self._cold = cold
+        self._cold_count = cold
         self.app.metrics.gauge('runners.cold', cold)
         logger.info(
             'cold runners',
             cold=cold,
             registered=len(registered),
-            index=self.held.view.index,
+            index=self.lease.view.index,
         )
 
     def _update_halls(self) -> None:
-        packed = self.held.view.by_prefix(views.HALL_PREFIX)
+        packed = self.lease.view.by_prefix(views.HALL_PREFIX)
         listed = [views.unpack_hall(value) for value in packed.values()]
         out = {state.name: state for state in listed if state.is_out}
         if not self.backends.update_halls(set(out), self.app.now_s()):
@@ -207,18 +208,18 @@
             'halls out of service',
             halls=sorted(out),
             revisions=[out[name].revision for name in sorted(out)],
-            index=self.held.view.index,
+            index=self.lease.view.index,
         )
 
     def _update_quarantine(self) -> None:
-        packed = self.held.view.by_prefix(views.QUARANTINE_PREFIX).values()
+        packed = self.lease.view.by_prefix(views.QUARANTINE_PREFIX).values()
         listed = [views.unpack_quarantined(value) for value in packed]
         self.crash_reporter.update(listed)
 
     def _update_routes(self) -> None:
-        newest = views.routes_in(self.held.view)
-        known = self.index.table.version if self.index else 0
-        if newest.version <= known:
+        newest = views.routes_in(self.lease.view)
+        current = self.index.table.version if self.index else 0
+        if newest.version <= current:
             return
         try:
             source = routes.decompress(newest.source)
@@ -235,11 +236,11 @@
             'routes in force',
             version=table.version,
             routes=len(table.routes),
-            index=self.held.view.index,
+            index=self.lease.view.index,
         )
 
     def _all_gateways(self) -> list[views.Member]:
-        packed = self.held.view.by_prefix('member/')
+        packed = self.lease.view.by_prefix('member/')
         listed = [views.unpack_member(value) for value in packed.values()]
         return [member for member in listed if member.kind == 'gateway']
 
@@ -265,7 +266,7 @@
         """
         table = self.dialect.decode_routes(source)
         put = messages.PutRoutes(table.version, routes.compress(source))
-        reply = await self.leader.call(put, PUT_S)
+        reply = await self.leader.call(put, PUT_TIMEOUT_S)
         logger.info('routes put', version=table.version, held=reply.version)
         return reply.version
 
@@ -274,7 +275,7 @@
 
         :raises NoController: the newest one can't be determined.
         """
-        reply = await self.leader.call(messages.ReadRoutes(), PUT_S)
+        reply = await self.leader.call(messages.ReadRoutes(), PUT_TIMEOUT_S)
         if reply.version == 0:
             return None
         return routes.decompress(reply.source)
@@ -282,23 +283,23 @@
     async def heartbeat(self, heartbeat: messages.Heartbeat) -> None:
         """Send a runner's heartbeat to the leader.
 
-        :raises NoController: it may not have been recorded.
+        :raises NoController: the heartbeat may not have been recorded.
         """
-        await self.leader.call(heartbeat, HEARTBEAT_S)
+        await self.leader.call(heartbeat, HEARTBEAT_TIMEOUT_S)
 
     async def leave(self, instance_id: str, born_ms: int) -> None:
-        """Remove a runner that reports that it has left.
+        """Deregister a runner that reports that it has left.
 
-        The message names the incarnation known here, so that it does not
-        remove one that begins meanwhile.
+        The message names the incarnation known to this entry, so that it does
+        not remove one that begins meanwhile.
 
         :raises NoController: it may not have been recorded.
         :raises StaleHeartbeat: it may be of an earlier incarnation.
         """
-        known = self.backends.by_id.get(instance_id)
-        lives = known.instance.lives if known else 0
+        backend = self.backends.by_id.get(instance_id)
+        lives = backend.instance.lives if backend else 0
         leave = messages.Leave(instance_id, born_ms, lives)
-        await self.leader.call(leave, HEARTBEAT_S)
+        await self.leader.call(leave, HEARTBEAT_TIMEOUT_S)
 
     def record_malformed(
         self, raw_id: bytes, problem: errors.BadHeartbeat
@@ -329,20 +330,20 @@
     async def release(
         self, digest: bytes
     ) -> list[quarantines.QuarantinedRequest]:
-        """End a request's quarantine; return the remaining entries.
+        """Release a request; return the remaining quarantine entries.
 
-        :raises NoController: it may have been carried out, or not.
-        :raises NotHeldBack: the request is not known.
+        :raises NoController: the release may have been applied, or not.
+        :raises NotHeldBack: there is no such entry.
         """
         return await self.crash_reporter.release(digest)
 
     async def set_hall(self, name: str, is_out: bool) -> halls.HallState:
-        """Take a hall out of service, or put it back.
+        """Take a hall out of service, or restore it.
 
         :raises BadRequest: the name is malformed.
-        :raises UnknownHall: no hall of the deployment has it.
-        :raises NoController: it may have been carried out, or not.
-        :raises HallChanged: other orders for this hall came first.
+        :raises UnknownHall: no hall of the deployment has this name.
+        :raises NoController: the order may have been applied, or not.
+        :raises HallChanged: other orders for this hall were committed first.
         """
         return await self.hall_orders.set(name, is_out)
 
@@ -354,9 +355,9 @@
     # Lease and shutdown.
 
     async def hold_lease(self) -> None:
-        """Renew the lease for ever."""
-        signals.view_changed.connect(self.apply_view, sender=self.held)
-        await self.keeper.run()
+        """Renew the lease until the process stops."""
+        signals.view_changed.connect(self.apply_view, sender=self.lease)
+        await self.lease_renewer.run()
 
     async def begin_drain(self) -> None:
         """Report not ready, and announce the drain to the leader."""
@@ -381,7 +382,7 @@
 
     async def _announce_drain(self) -> None:
         try:
-            await self.leader.call(self._renewal(), PUT_S)
+            await self.leader.call(self.renewal(), PUT_TIMEOUT_S)
         except errors.MountridgeError as problem:
             logger.warning('cannot announce the drain', reason=str(problem))
 
@@ -390,8 +391,8 @@
         now_s = self.app.now_s()
         backoffs = self.backends.backoffs
         return {
-            'index': self.held.view.index,
-            'lease_left_s': self.held.until_s - self.app.now_s(),
+            'index': self.lease.view.index,
+            'lease_left_s': self.lease.until_s - self.app.now_s(),
             'routes': self.index.table.version if self.index else 0,
             'open_requests': self.front.open_requests,
             'gateways': self.addresses(),
@@ -399,8 +400,8 @@
             'runners': {
                 key: {
                     'state': backend.instance.state,
-                    'own': backend.own,
-                    'reported': backend.reported,
+                    'own': backend.own_requests,
+                    'reported': backend.reported_requests,
                     'failures': backend.failures,
                     'cold': backend.instance.is_cold,
                     'rests': backoffs.until_s(backend.instance) > now_s,
@@ -421,7 +422,7 @@
         :raises NotLeader: always.
         """
         problem = errors.NotLeader()
-        if self.held.is_valid(self.app.now_s()):
+        if self.lease.is_valid(self.app.now_s()):
             name, address = self.leader.current
             problem.leader, problem.leader_address = name, address
         raise problem
--- a/mountridge/routing/crashwatch.py
+++ b/mountridge/routing/crashwatch.py
@@ -2,7 +2,7 @@
 
 """Detection of runner crashes, and retries of requests that may cause them.
 
-A broken connection alone is no proof of a crash. The address of a runner whose
+A broken connection alone does not show a crash. The address of a runner whose
 process has ended refuses the next connection at once; a runner that reset one
 connection accepts the next, and a box that is partitioned or suspended does
 not answer.
@@ -35,12 +35,12 @@
     def __init__(
         self,
         app: application.Application,
-        known: quarantine.Quarantine,
+        records: quarantine.Quarantine,
         backoffs: backoffs.Backoffs,
         has_ranks: typing.Callable[[str], bool],
     ):
         self._app = app
-        self._quarantine = known
+        self._quarantine = records
         self._backoffs = backoffs
         self._has_ranks = has_ranks
         #: Called when a suspect or quarantined request has succeeded.
@@ -72,7 +72,7 @@
         self._app.metrics.incr('quarantine.crashes')
         logger.info(
             'runner crashed',
-            request=exchange.call.request_id,
+            request=exchange.request_head.request_id,
             runner=runner.instance_id,
             digest=digest.hex(),
             is_held=self._quarantine.is_quarantined(digest, now_s),
--- a/mountridge/routing/forwarding.py
+++ b/mountridge/routing/forwarding.py
@@ -28,14 +28,14 @@
 _runner_fields, _to_ms = routedexchanges.runner_fields, routedexchanges.to_ms
 
 #: A request is cancelled this long after its deadline, so that an answer that
-#: is already arriving is still returned.
+#: is arriving already is still returned.
 DEADLINE_GRACE_S = 0.05
 #: How long a request may wait in a process that has just started and has no
 #: routes yet: longer than an election and a first lease, since many callers
 #: retry only once.
 ROUTES_WAIT_S = 1.5
 #: Misdirected attempts of one request that do not count as attempts; with
-#: more, the registrations are taken to be out of date.
+#: more, the registrations are assumed to be outdated.
 MAX_UNCOUNTED_MISDIRECTED = 3
 #: No retry is made with less time than this until the deadline.
 MIN_RETRY_TIME_S = 0.05
@@ -79,12 +79,12 @@
         app: application.Application,
         dialect: dialects.Dialect,
         index: typing.Callable[[], routes.Index | None],
-        known: backends.Backends,
+        backends: backends.Backends,
         gateway_count: typing.Callable[[], int],
     ):
         self.app = app
         self.dialect = dialect
-        self.known = known
+        self.backends = backends
         #: Whether this process is shutting down and refuses new requests.
         self.closed = False
         #: Set when the first routes have been loaded.
@@ -100,13 +100,13 @@
             bounds['retry_window_s'],
         )
         self.picker = picking.Picker(
-            app, index, known, gateway_count, self.rng
+            app, index, backends, gateway_count, self.rng
         )
         #: Times at which open requests are cancelled.
         self._cancel_at_s: dict[trio.CancelScope, float] = {}
         self.quarantine = quarantine.Quarantine(app.settings['digest_key'])
         self.crashes = crashwatch.CrashWatch(
-            app, self.quarantine, known.backoffs, self.picker.has_ranks
+            app, self.quarantine, backends.backoffs, self.picker.has_ranks
         )
         self.filters = routefilters.chain(index, dialect.headers, self.rng)
         self.filters.append(routefilters.refuse_quarantined(self.quarantine))
@@ -148,15 +148,15 @@
         problem: errors.MountridgeError | None = None,
     ) -> None:
         now_s = self.app.now_s()
-        call, route = exchange.call, exchange.route
+        head, route = exchange.request_head, exchange.route
         first_s = exchange.first_data_s
-        self.app.metrics.timing('request', now_s - exchange.begun_s)
+        self.app.metrics.timing('request', now_s - exchange.started_s)
         if first_s is not None:
-            self.app.metrics.timing('first_data', first_s - exchange.begun_s)
+            self.app.metrics.timing('first_data', first_s - exchange.started_s)
         logger.info(
             'request',
-            request=call.request_id if call else '',
-            path=call.path if call else '',
+            request=head.request_id if head else '',
+            path=head.path if head else '',
             route=route.name if route else '',
             table=exchange.table_version,
             service=exchange.service,
@@ -166,13 +166,13 @@
             reason=str(problem) if problem else '',
             status=exchange.status or (problem.status if problem else 0),
             **_runner_fields(exchange.picked, now_s),
-            prompt_tokens=call.prompt_tokens if call else 0,
-            output_tokens=call.output_tokens if call else 0,
+            prompt_tokens=head.prompt_tokens if head else 0,
+            output_tokens=head.output_tokens if head else 0,
             tries=exchange.attempts,
             events=exchange.events_sent,
             longest_gap_ms=_to_ms(exchange.longest_gap_s),
-            first_ms=_to_ms(first_s and first_s - exchange.begun_s),
-            took_ms=_to_ms(now_s - exchange.begun_s),
+            first_ms=_to_ms(first_s and first_s - exchange.started_s),
+            took_ms=_to_ms(now_s - exchange.started_s),
         )
 
     # Attempts.
@@ -245,12 +245,12 @@
             picked.backend.record_failure(now_s)
         logger.info(
             'attempt failed',
-            request=exchange.call.request_id,
+            request=exchange.request_head.request_id,
             code=problem.code,
             outcome=problem.outcome,
             reason=str(problem),
             **_runner_fields(picked, now_s),
-            took_ms=_to_ms(now_s - exchange.begun_s),
+            took_ms=_to_ms(now_s - exchange.started_s),
         )
 
     def _may_retry(
@@ -300,8 +300,8 @@
         exchange.events_before = exchange.events_sent
         exchange.is_in_flight = True
         exchange.attempted.add(backend.instance.instance_id)
-        send = self.known.request_started(backend, self.app.now_s())
-        is_probe = self.known.backoffs.begin_request(backend.instance)
+        send = self.backends.request_started(backend, self.app.now_s())
+        is_probe = self.backends.backoffs.begin_request(backend.instance)
         try:
             async with self.pool.request(
                 backend.instance.address,
@@ -309,7 +309,7 @@
                 request.target,
                 self._runner_headers(exchange, backend),
                 request.body,
-                exchange.call.request_id,
+                exchange.request_head.request_id,
                 lambda: self._before_send(backend, send, exchange.deadline_s),
             ) as reply:
                 if reply.head.status == MISDIRECTED:
@@ -319,7 +319,7 @@
             if not send.is_sent:
                 send.discard()
             if is_probe:
-                self.known.backoffs.end_probe(backend.instance)
+                self.backends.backoffs.end_probe(backend.instance)
             backend.request_ended()
 
     def _before_send(
@@ -340,7 +340,7 @@
         now_s = self.app.now_s()
         if now_s >= until_s:
             raise errors.DeadlinePassed()
-        if not self.known.backoffs.may_send(backend.instance, now_s):
+        if not self.backends.backoffs.may_send(backend.instance, now_s):
             self.app.metrics.incr('rest.held_back')
             raise errors.RunnersResting(
                 'the runner is backing off or leaving since it was selected'
@@ -379,22 +379,22 @@
         if head.status == MISDIRECTED:
             backend.replaced = True
             if self.picker.has_ranks(exchange.service):
-                self.known.record_refusal(backend, now_s)
+                self.backends.record_refusal(backend, now_s)
             raise errors.RunnerReplaced(f'the runner answered {head.status}')
         self._apply_announcements(exchange, backend.instance, head)
         if head.not_run:
             # A backoff concerns this runner alone, not its group.
             is_backoff = head.backoff_s is not None
             if self.picker.has_ranks(exchange.service) and not is_backoff:
-                self.known.record_refusal(backend, now_s)
+                self.backends.record_refusal(backend, now_s)
             raise errors.RunnerRefused(f'the runner answered {head.status}')
         exchange.may_have_run = True
-        self.known.record_acceptance(backend, now_s)
+        self.backends.record_acceptance(backend, now_s)
         await routedanswers.forward(
             exchange,
             reply,
             self.app.now_s,
-            lambda: self._leave_slow_runner(exchange, backend),
+            lambda: self._migrate_if_slow(exchange, backend),
         )
         backend.record_success()
         self.crashes.record_success(exchange)
@@ -405,28 +405,28 @@
         runner: instances.Instance,
         head: dialects.ReplyHead,
     ) -> None:
-        """Record a backoff or a drain that a runner's answer announces.
+        """Record a backoff or departure that a runner's answer announces.
 
-        Neither shows in its registration or its load: without this, a runner
+        Neither is part of its registration or its load: without this, a runner
         that refuses all requests would seem the least loaded one.
         """
         now_s = self.app.now_s()
         fields = {
-            'request': exchange.call.request_id,
+            'request': exchange.request_head.request_id,
             'runner': runner.instance_id,
         }
         if head.backoff_s is not None:
-            backoff_until_s = self.known.backoffs.back_off(
+            backoff_until_s = self.backends.backoffs.back_off(
                 runner, head.backoff_s, now_s
             )
             self.app.metrics.incr('rest.asked')
             if math.isnan(head.backoff_s):
                 self.app.metrics.incr('runner.malformed.rest')
-            rest_ms = _to_ms(backoff_until_s - now_s)
+            backoff_ms = _to_ms(backoff_until_s - now_s)
             logger.info(
-                'runner requested a backoff', **fields, rest_ms=rest_ms
+                'runner requested a backoff', **fields, rest_ms=backoff_ms
             )
-        if head.is_leaving and self.known.backoffs.mark_leaving(runner):
+        if head.is_leaving and self.backends.backoffs.mark_leaving(runner):
             self.app.metrics.incr('runner.says_leaving')
             state = runner.state
             logger.info(
@@ -435,7 +435,7 @@
                 held_state=state,
             )
 
-    def _leave_slow_runner(
+    def _migrate_if_slow(
         self, exchange: Exchange, backend: backends.Backend
     ) -> None:
         """Move a stream to another runner where its runner has become slow.
@@ -447,7 +447,7 @@
         """
         if backend.slowdown < backends.MIGRATE_SLOWDOWN:
             return
-        others = self.known.of_service(exchange.service)
+        others = self.backends.of_service(exchange.service)
         if all(other.slowdown >= backends.AVOID_SLOWDOWN for other in others):
             return
         problem = errors.RunnerSlow(
--- a/mountridge/routing/picking.py
+++ b/mountridge/routing/picking.py
@@ -4,7 +4,7 @@
 
 A request waits only where a runner may become available soon: where none is
 known, where the groups of all are closed or all back off, where a probe
-request checks whether the runners of an old view are still there, and where
+request checks whether the runners of an old view still exist, and where
 this gateway has used up its quotas of runners that can be cold. What can't be
 served in time is refused at once, as where all halls are out of service.
 """
@@ -31,12 +31,12 @@
 WAIT_FRACTION = 0.4
 #: How long after its start a request still waits for a closed group or for its
 #: quota. With up to 0.5 s to a first event, within the 2 s after which callers
-#: give up a stream that has shown nothing.
+#: abandon a stream without events.
 GROUP_WAIT_S = 1.5
 #: Between two checks whether a group is open: a refusal by one of its ranks
 #: closes it for 0.3 s only.
 GROUP_CHECK_INTERVAL_S = 0.1
-#: Where all runners back off, callers are asked to retry no sooner than this:
+#: Where all runners back off, the Retry-After of callers is at least this:
 #: after a backoff each runner first gets a probe request, whose answer others
 #: wait for.
 MIN_RETRY_AFTER_S = 0.5
@@ -49,11 +49,11 @@
         self,
         app: application.Application,
         index: typing.Callable[[], routes.Index | None],
-        known: backends.Backends,
+        backends: backends.Backends,
         gateways: typing.Callable[[], int],
         rng: random.Random,
     ):
-        self.known = known
+        self.backends = backends
         self._app = app
         self._index = index
         self._gateways = gateways
@@ -74,7 +74,7 @@
         :raises GroupClosed: the groups of all runners stay closed.
         :raises HallsOut: the halls of all runners are out of service.
         """
-        if self.known.warmup.is_limited(exchange.service):
+        if self.backends.warmup.is_limited(exchange.service):
             picked = await self._pick_limited(exchange)
         else:
             picked = await self._pick_unlimited(exchange)
@@ -92,12 +92,12 @@
         now_s = self._app.now_s()
         wait_s = max(0.0, self._max_wait_s(exchange, now_s))
         until_s = now_s + wait_s
-        picked = self._choose(exchange, now_s)
+        picked = self._pick_unless_probing(exchange, now_s)
         with trio.move_on_after(wait_s):
             while picked is None and self._is_worth_waiting(exchange, until_s):
                 with trio.move_on_after(GROUP_CHECK_INTERVAL_S):
-                    await self.known.changed.wait()
-                picked = self._choose(exchange, self._app.now_s())
+                    await self.backends.changed.wait()
+                picked = self._pick_unless_probing(exchange, self._app.now_s())
         return picked
 
     # Runners that can be cold.
@@ -105,7 +105,7 @@
     async def _pick_limited(
         self, exchange: Exchange
     ) -> backends.Picked | None:
-        """Return a runner with quota left; None where none comes in time.
+        """Return a runner with quota left; None if there is none in time.
 
         A retry has waited before and can't use all runners, so it joins no
         queue and gets the first runner with quota left.
@@ -116,14 +116,14 @@
         queue = self._queues[exchange.service]
         picked = None
         if exchange.attempted or not len(queue):
-            picked = self._choose(exchange, now_s)
+            picked = self._pick_unless_probing(exchange, now_s)
         if picked is not None:
             self._unowned_since_s.pop(exchange.service, None)
             return picked
         self._app.metrics.incr('cold.waited')
         if exchange.attempted:
             # `GROUP_WAIT_S` limits the time to a first event; a stream that
-            # is resumed has shown some, and may wait a whole window.
+            # is resumed has sent some, and may wait a whole window.
             left_s = exchange.deadline_s - now_s
             until_s = now_s + min(warmup.WINDOW_S, WAIT_FRACTION * left_s)
             return await self._wait_for_quota(exchange, None, until_s)
@@ -144,7 +144,7 @@
         while True:
             now_s = self._app.now_s()
             ahead = queue.count_ahead(waiter) if waiter else 0
-            send_s = self.known.earliest_send_s(
+            send_s = self.backends.earliest_send_s(
                 exchange.service, exchange.attempted, ahead, now_s
             )
             if send_s != warmup.NEVER and send_s > until_s:
@@ -157,7 +157,7 @@
                 with trio.move_on_after(until_s - now_s):
                     await waiter.moved.wait()
                 continue
-            picked = self._choose(exchange, now_s)
+            picked = self._pick_unless_probing(exchange, now_s)
             if picked is not None:
                 return picked
             next_free_s = self._next_free_s(exchange, now_s)
@@ -169,25 +169,27 @@
             )
             wait_s = min(GROUP_CHECK_INTERVAL_S, next_s - now_s)
             with trio.move_on_after(wait_s):
-                await self.known.changed.wait()
+                await self.backends.changed.wait()
 
     def _may_own(
         self, exchange: Exchange, now_s: float, until_s: float
     ) -> bool:
         """Return whether this gateway may soon own a runner with quota left.
 
-        Where few runners are known after a start, all may be owned by others;
-        where that lasts, no request needs to wait.
+        After a start few runners are known, and others may own them all; if
+        that lasts, no request needs to wait.
         """
         service = exchange.service
-        if not self._runners(exchange) or self.known.owns_any(service, now_s):
+        if not self._runners(exchange) or self.backends.owns_any(
+            service, now_s
+        ):
             self._unowned_since_s.pop(service, None)
             return self._is_worth_waiting(exchange, until_s)
         since_s = self._unowned_since_s.setdefault(service, now_s)
         return now_s - since_s < groupstates.MAX_CLOSED_WAIT_S
 
     def _next_free_s(self, exchange: Exchange, now_s: float) -> float:
-        return self.known.next_free_s(
+        return self.backends.next_free_s(
             exchange.service,
             exchange.attempted,
             self._was_refused(exchange),
@@ -208,7 +210,7 @@
         """Return how long a request may wait for a runner from now on."""
         wait_s = RUNNER_WAIT_S
         if self._runners(exchange):
-            wait_s = exchange.begun_s + GROUP_WAIT_S - now_s
+            wait_s = exchange.started_s + GROUP_WAIT_S - now_s
         return min(wait_s, WAIT_FRACTION * (exchange.deadline_s - now_s))
 
     def _is_worth_waiting(self, exchange: Exchange, until_s: float) -> bool:
@@ -217,7 +219,7 @@
         Runners that back off are waited for where the first of them may get
         requests again by ``until_s``.
         """
-        if self.known.all_halls_out(exchange.service):
+        if self.backends.all_halls_out(exchange.service):
             return False
         if not self._runners(exchange) or self._is_probing(exchange):
             return True
@@ -238,11 +240,11 @@
         if not self.has_ranks(exchange.service):
             return None
         now_s = self._app.now_s()
-        return self.known.closed_for_s(exchange.service, now_s)
+        return self.backends.closed_for_s(exchange.service, now_s)
 
     def _no_runner_error(self, exchange: Exchange) -> errors.MountridgeError:
-        if self.known.all_halls_out(exchange.service):
-            out = ', '.join(sorted(self.known.halls_out))
+        if self.backends.all_halls_out(exchange.service):
+            out = ', '.join(sorted(self.backends.halls_out))
             return errors.HallsOut(f'halls out of service: {out}')
         closed_for_s = self._closed_for_s(exchange)
         if closed_for_s is not None:
@@ -253,8 +255,10 @@
         if end_s is not None:
             return self._backoff_error(end_s - self._app.now_s())
         service = exchange.service
-        is_limited = self.known.warmup.is_limited(service)
-        if is_limited and not self.known.owns_any(service, self._app.now_s()):
+        is_limited = self.backends.warmup.is_limited(service)
+        if is_limited and not self.backends.owns_any(
+            service, self._app.now_s()
+        ):
             if self._runners(exchange):
                 return errors.RunnersCold(
                     'all runners are owned by other gateways'
@@ -263,7 +267,7 @@
 
     def _backoff_end_s(self, exchange: Exchange) -> float | None:
         """Return when the first runner that backs off may get the request."""
-        return self.known.backoff_over_s(
+        return self.backends.earliest_backoff_end_s(
             exchange.service,
             exchange.attempted,
             self._was_refused(exchange),
@@ -279,14 +283,14 @@
         )
 
     def _runners(self, exchange: Exchange) -> list[backends.Backend]:
-        return self.known.of_service(exchange.service)
+        return self.backends.of_service(exchange.service)
 
     def _is_probing(self, exchange: Exchange) -> bool:
         """Return whether another request is probing the ranks."""
         service = exchange.service
-        return self.has_ranks(service) and self.known.is_probing(service)
+        return self.has_ranks(service) and self.backends.is_probing(service)
 
-    def _choose(
+    def _pick_unless_probing(
         self, exchange: Exchange, now_s: float
     ) -> backends.Picked | None:
         if self._is_probing(exchange):
@@ -296,7 +300,7 @@
     def _pick_any(
         self, exchange: Exchange, now_s: float
     ) -> backends.Picked | None:
-        return self.known.pick(
+        return self.backends.pick(
             exchange.service,
             self._app.settings['hall'],
             exchange.attempted,
--- a/mountridge/routing/routefilters.py
+++ b/mountridge/routing/routefilters.py
@@ -33,11 +33,11 @@
     """
 
     def parse_request(exchange: Exchange, now_s: float) -> None:
-        call = dialects.read_request_head(exchange.request, names)
-        exchange.call = call
-        if call.last_event_id is not None:
+        head = dialects.read_request_head(exchange.request, names)
+        exchange.request_head = head
+        if head.last_event_id is not None:
             try:
-                exchange.last_event_id = int(call.last_event_id)
+                exchange.last_event_id = int(head.last_event_id)
             except ValueError:
                 exchange.last_event_id = None
 
@@ -46,33 +46,35 @@
         if current is None:
             raise errors.NoRoutes()
         exchange.table_version = current.table.version
-        call = exchange.call
-        exchange.route = current.match(call.host, call.path)
+        head = exchange.request_head
+        exchange.route = current.match(head.host, head.path)
         if exchange.route is None:
-            raise errors.NoRoute(f'{call.host}{call.path}')
+            raise errors.NoRoute(f'{head.host}{head.path}')
         exchange.service = routes.choose_service(exchange.route, rng)
 
     def find_team(exchange: Exchange, now_s: float) -> None:
         current = index()
         if current.table.teams is None or exchange.route.public:
             return
-        exchange.team = current.team(exchange.call.key)
+        exchange.team = current.team(exchange.request_head.key)
         if exchange.team is None:
             raise errors.UnknownKey()
 
     return [parse_request, find_route, find_team, _set_deadline]
 
 
-def request_digest(known: quarantine.Quarantine, exchange: Exchange) -> bytes:
+def request_digest(
+    records: quarantine.Quarantine, exchange: Exchange
+) -> bytes:
     """Return the quarantine digest of a request, computed once."""
     if not exchange.digest:
-        exchange.digest = known.digest(
-            exchange.request, exchange.team, exchange.call.key
+        exchange.digest = records.digest(
+            exchange.request, exchange.team, exchange.request_head.key
         )
     return exchange.digest
 
 
-def refuse_quarantined(known: quarantine.Quarantine) -> Filter:
+def refuse_quarantined(records: quarantine.Quarantine) -> Filter:
     """Return the filter that refuses quarantined requests.
 
     :raises RequestHeldBack: (the filter) the request is quarantined, since it
@@ -80,10 +82,10 @@
     """
 
     def check(exchange: Exchange, now_s: float) -> None:
-        if not known.has_entries():
+        if not records.has_entries():
             return
-        digest = request_digest(known, exchange)
-        if known.is_quarantined(digest, now_s):
+        digest = request_digest(records, exchange)
+        if records.is_quarantined(digest, now_s):
             raise errors.RequestHeldBack(f'quarantined as {digest.hex()}')
 
     return check
@@ -91,6 +93,6 @@
 
 def _set_deadline(exchange: Exchange, now_s: float) -> None:
     timeout_ms = exchange.route.timeout_ms
-    if exchange.call.deadline_ms is not None:
-        timeout_ms = min(timeout_ms, exchange.call.deadline_ms)
-    exchange.deadline_s = exchange.begun_s + timeout_ms / 1000
+    if exchange.request_head.deadline_ms is not None:
+        timeout_ms = min(timeout_ms, exchange.request_head.deadline_ms)
+    exchange.deadline_s = exchange.started_s + timeout_ms / 1000
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -455,12 +455,12 @@
     ),
     Mutant(
         'maps: no delta encoding of maps', 'groups',
-        'base = known if known in group.maps else ranks.NO_VERSION',
+        'base = known_map if known_map in group.maps else ranks.NO_VERSION',
         'base = ranks.NO_VERSION', 'manyranks', '',
     ),
     Mutant(
         'maps: no limit on the ranks that count choices', 'rankgroups',
-        'return rank % math.ceil(max(1, self.size) / MOST_COUNTING) == 0',
+        'return rank % math.ceil(max(1, self.size) / MAX_COUNTING_RANKS) == 0',
         'return True', 'manyranks',
     ),
     Mutant(
@@ -595,7 +595,7 @@
     ),
     Mutant(
         'picking: no wait for another request that probes', 'picking',
-        'return self.has_ranks(service) and self.known.is_probing(service)',
+        'return self.has_ranks(service) and self.backends.is_probing(service)',
         'return False', 'closedgroups',
     ),
     Mutant(
@@ -622,7 +622,7 @@
     ),
     Mutant(
         'backoffs: no handling of leaving runners', 'forwarding',
-        'if head.is_leaving and self.known.backoffs.mark_leaving(runner):',
+        'if head.is_leaving and self.backends.backoffs.mark_leaving(runner):',
         'if False:', 'rests',
     ),
     Mutant(
@@ -632,7 +632,7 @@
     ),
     Mutant(
         'backoffs: no check between selection and send', 'forwarding',
-        'if not self.known.backoffs.may_send(backend.instance, now_s):',
+        'if not self.backends.backoffs.may_send(backend.instance, now_s):',
         'if False:', 'rests',
     ),
     Mutant(
@@ -657,8 +657,8 @@
     ),
     Mutant(
         'backoffs: no preference of busy runners for retries', 'backends',
-        'fit = [b for b in fit if self._is_working(b)] or fit', 'pass',
-        'rests',
+        'usable = [b for b in usable if self._is_working(b)] or usable',
+        'pass', 'rests',
     ),
     Mutant(
         'backoffs: no wait for the end', 'picking',
@@ -717,7 +717,7 @@
     ),
     Mutant(
         'quarantine: no refusal of quarantined requests', 'routefilters',
-        'if known.is_quarantined(digest, now_s):', 'if False:', 'quarantine',
+        'if records.is_quarantined(digest, now_s):', 'if False:', 'quarantine',
     ),
     Mutant(
         'quarantine: no count of crashes', 'crashwatch',
@@ -1193,7 +1193,7 @@
     ),
     Mutant(
         'halls: no check of names', 'hallorders',
-        'if known and name not in known:', 'if False:',
+        'if configured and name not in configured:', 'if False:',
         'halls', 'name of a hall',
     ),
     Mutant(
@@ -1203,7 +1203,7 @@
     ),
     Mutant(
         'halls: no refusal when all halls are out', 'picking',
-        '''if self.known.all_halls_out(exchange.service):
+        '''if self.backends.all_halls_out(exchange.service):
             return False''',
         '''if False:
             return False''',
