--- a/mountridge/control/registry.py
+++ b/mountridge/control/registry.py
@@ -4,7 +4,7 @@
 
 Only a change of a registration goes through the log; a heartbeat that changes
 nothing is answered from memory. A change is acknowledged once it is
-committed, so it survives a loss of the leader. `state/lives.py` decides
+committed, so it survives a loss of the leader. `state/incarnations.py` decides
 which of two reports is newer.
 """
 
@@ -14,7 +14,7 @@
 from mountridge.consensus import replicas
 from mountridge.documents import instances
 from mountridge.logs import logger
-from mountridge.state import commands, lives, statemachine
+from mountridge.state import commands, incarnations, statemachine
 
 __all__ = ['Registry']
 
@@ -30,9 +30,9 @@
 #: one. They are acknowledged all the same, so that the sender does not retry
 #: at another process.
 ACKNOWLEDGED_REFUSALS = (
-    lives.Refusal.OLDER_LIFE,
-    lives.Refusal.OLDER_COUNT,
-    lives.Refusal.LEFT,
+    incarnations.Refusal.OLDER_LIFE,
+    incarnations.Refusal.OLDER_COUNT,
+    incarnations.Refusal.LEFT,
 )
 
 
@@ -77,11 +77,11 @@
         registered = self._registered_instance(reported)
         self._check_deployment(reported, registered)
         others = self.machine.other_instances(reported)
-        order = lives.classify(reported, registered, others)
-        if isinstance(order, lives.Refusal):
+        order = incarnations.classify(reported, registered, others)
+        if isinstance(order, incarnations.Refusal):
             return self._refuse(reported, registered, order)
         key = reported.instance_id
-        if order is not lives.Order.SAME:
+        if order is not incarnations.Order.SAME:
             self._report_incarnation(reported, registered, order)
         if registered is not None and registered.born_ms != reported.born_ms:
             self._newest_seq.pop((key, registered.born_ms), None)
@@ -98,7 +98,9 @@
         """Record a heartbeat that changes nothing; false for any other."""
         reported = heartbeat.instance
         registered = self.machine.instances.get(reported.instance_id)
-        if registered is None or not lives.is_unchanged(reported, registered):
+        if registered is None or not incarnations.is_unchanged(
+            reported, registered
+        ):
             return False
         incarnation = (reported.instance_id, reported.born_ms)
         if heartbeat.seq < max(
@@ -158,7 +160,7 @@
         self,
         reported: instances.Instance,
         registered: instances.Instance | None,
-        refusal: lives.Refusal,
+        refusal: incarnations.Refusal,
     ) -> messages.Registered:
         """Acknowledge an outdated heartbeat, or refuse one.
 
@@ -186,7 +188,7 @@
         self,
         reported: instances.Instance,
         registered: instances.Instance | None,
-        order: lives.Order,
+        order: incarnations.Order,
     ) -> None:
         self.app.metrics.incr('runner.lives')
         logger.info(
@@ -231,7 +233,7 @@
         self.replica.check_leader()
         registered = self.machine.instances.get(leave.instance_id)
         now_ms = round(self.app.wall_s() * 1000)
-        refusal = lives.check_leave(
+        refusal = incarnations.check_leave(
             leave.born_ms, leave.lives, registered, now_ms
         )
         # The leave may arrive before any heartbeat.
@@ -265,7 +267,7 @@
         """
         now_s = self.app.now_s()
         for key, instance in list(self.machine.instances.items()):
-            if lives.has_ended(instance):
+            if incarnations.has_ended(instance):
                 self._heartbeat_s.pop(key, None)
                 if not instance.may_return:
                     self._newest_seq.pop((key, instance.born_ms), None)
--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -13,7 +13,7 @@
 
 from mountridge.documents import halls, instances, quarantines, tables
 from mountridge import errors, messages
-from mountridge.state import claims, commands, lives, views
+from mountridge.state import claims, commands, incarnations, views
 
 __all__ = ['StateMachine', 'VersionRecord']
 
@@ -266,15 +266,17 @@
     """
     proposed, now_ms = command.instance, round(command.at_s * 1000)
     known = machine.instances.get(proposed.instance_id)
-    if lives.has_ended(proposed):
+    if incarnations.has_ended(proposed):
         _end_instance(machine, index, proposed, known, now_ms)
         return messages.Registered()
-    order = lives.classify(proposed, known, machine.other_instances(proposed))
-    if isinstance(order, lives.Refusal):
+    order = incarnations.classify(
+        proposed, known, machine.other_instances(proposed)
+    )
+    if isinstance(order, incarnations.Refusal):
         return messages.Registered()
-    if order is not lives.Order.SAME:
+    if order is not incarnations.Order.SAME:
         _end_at_address(machine, index, proposed, now_ms)
-    registration = lives.updated(proposed, known, order, now_ms)
+    registration = incarnations.updated(proposed, known, order, now_ms)
     _store_instance(machine, index, registration)
     return messages.Registered()
 
@@ -288,7 +290,7 @@
 ) -> None:
     """End a registration, unless it is a later one or ended for good."""
     if known is not None:
-        is_final = lives.has_ended(known) and not known.may_return
+        is_final = incarnations.has_ended(known) and not known.may_return
         if is_final and proposed.born_ms <= known.born_ms:
             return
         if proposed.lives not in (0, known.lives):
@@ -314,7 +316,9 @@
 ) -> None:
     """End the runners at the address of a newly registered one."""
     for other in list(machine.other_instances(proposed)):
-        if other.address == proposed.address and not lives.has_ended(other):
+        if other.address == proposed.address and not incarnations.has_ended(
+            other
+        ):
             ended = other._replace(
                 state=instances.LEFT, since_ms=now_ms, may_return=True
             )
@@ -352,7 +356,7 @@
     They may have restarted while no requests were sent to them.
     """
     for instance in list(machine.instances.values()):
-        if instance.hall == hall and not lives.has_ended(instance):
+        if instance.hall == hall and not incarnations.has_ended(instance):
             cold = instance._replace(is_cold=True)
             _store_instance(machine, index, cold)
 
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -412,12 +412,12 @@
         'highest version',
     ),
     Mutant(
-        'entry: no sequence check on heartbeats', 'lives',
+        'entry: no sequence check on heartbeats', 'incarnations',
         'if received.seq < known.seq:', 'if False:',
         'entry', 'delayed heartbeat',
     ),
     Mutant(
-        'entry: no refusal of runners that have left', 'lives',
+        'entry: no refusal of runners that have left', 'incarnations',
         'if has_ended(known) and not known.may_return:\n'
         '        return Refusal',
         'if False:\n        return Refusal', 'entry', 'runner that left',
@@ -808,17 +808,17 @@
         'if False:', 'forwarding',
     ),
     Mutant(
-        'incarnations: no order check for an older start', 'lives',
+        'incarnations: no order check for an older start', 'incarnations',
         'is_newer = received.born_ms > known.born_ms',
         'is_newer = True', 'lives',
     ),
     Mutant(
-        'incarnations: no order check for a newer start', 'lives',
+        'incarnations: no order check for a newer start', 'incarnations',
         'is_newer = received.born_ms > known.born_ms',
         'is_newer = False', 'lives',
     ),
     Mutant(
-        'incarnations: no sequence check on heartbeats', 'lives',
+        'incarnations: no sequence check on heartbeats', 'incarnations',
         'if received.seq < known.seq:',
         'if False:', 'lives',
     ),
@@ -828,63 +828,65 @@
         'reported = heartbeat.instance', 'lives',
     ),
     Mutant(
-        'incarnations: no refusal of moves', 'lives',
+        'incarnations: no refusal of moves', 'incarnations',
         'if place != (known.service, known.address, known.hall):',
         'if False:', 'lives',
     ),
     Mutant(
-        'incarnations: no refusal of a missing start time', 'lives',
+        'incarnations: no refusal of a missing start time', 'incarnations',
         'return Order.BACK if known.may_return else Refusal.NO_START',
         'return Order.BACK', 'lives',
     ),
     Mutant(
-        'incarnations: no check that a start is after a leave', 'lives',
+        'incarnations: no check that a start is after a leave', 'incarnations',
         'if not has_ended(known) or received.born_ms > known.since_ms:',
         'if True:', 'lives',
     ),
     Mutant(
-        'incarnations: no start order for a shared address', 'lives',
+        'incarnations: no start order for a shared address', 'incarnations',
         'return other.born_ms < received.born_ms',
         'return True', 'lives',
     ),
     Mutant(
-        'incarnations: no start order against ended holders', 'lives',
+        'incarnations: no start order against ended holders', 'incarnations',
         'if other.born_ms and received.born_ms:',
         'if other.born_ms and received.born_ms and not has_ended(other):',
         'lives',
     ),
     Mutant(
-        'incarnations: no protection of an address on a return', 'lives',
+        'incarnations: no protection of an address on a return',
+        'incarnations',
         'return order is Order.NEWER and not other.born_ms',
         'return not other.born_ms', 'lives',
     ),
     Mutant(
-        'incarnations: no protection of an address by start time', 'lives',
+        'incarnations: no protection of an address by start time',
+        'incarnations',
         'return order is Order.NEWER and not other.born_ms',
         'return order is Order.NEWER', 'lives',
     ),
     Mutant(
-        'incarnations: no start time check on leaves', 'lives',
+        'incarnations: no start time check on leaves', 'incarnations',
         'return Refusal.OLDER_LIFE if born_ms < known.born_ms else None',
         'return None', 'lives',
     ),
     Mutant(
-        'incarnations: no view check on leaves', 'lives',
+        'incarnations: no view check on leaves', 'incarnations',
         'if lives and lives < known.lives:',
         'if False:', 'lives',
     ),
     Mutant(
-        'incarnations: no refusal of leaves after a restart', 'lives',
+        'incarnations: no refusal of leaves after a restart', 'incarnations',
         'if is_fresh and known.state == instances.READY:',
         'if False:', 'lives',
     ),
     Mutant(
-        'incarnations: no early leave while draining', 'lives',
+        'incarnations: no early leave while draining', 'incarnations',
         'if is_fresh and known.state == instances.READY:',
         'if is_fresh:', 'lives',
     ),
     Mutant(
-        'incarnations: no early leave of a first incarnation', 'lives',
+        'incarnations: no early leave of a first incarnation', 'incarnations',
         'is_fresh = known.lives > 1 and',
         'is_fresh =', 'lives',
     ),
@@ -910,7 +912,7 @@
     ),
     Mutant(
         'incarnations: no order check in the state machine', 'statemachine',
-        'if isinstance(order, lives.Refusal):',
+        'if isinstance(order, incarnations.Refusal):',
         'if False:', 'lives',
     ),
     Mutant(
