--- a/mountridge/state/incarnations.py
+++ b/mountridge/state/incarnations.py
@@ -61,23 +61,23 @@
 
 
 def is_unchanged(
-    received: instances.Instance, known: instances.Instance
+    received: instances.Instance, registered: instances.Instance
 ) -> bool:
     """Return whether a heartbeat leaves a registration as it is."""
-    return received[:_REPORTED_FIELDS] == known[:_REPORTED_FIELDS]
+    return received[:_REPORTED_FIELDS] == registered[:_REPORTED_FIELDS]
 
 
 def classify(
     received: instances.Instance,
-    known: instances.Instance | None,
+    registered: instances.Instance | None,
     others: typing.Iterable[instances.Instance],
 ) -> Order | Refusal:
     """Return how a heartbeat relates to its registration, or a refusal.
 
-    ``known`` is the registration of its id. ``others`` are registrations of
-    other ids; those at other addresses are ignored.
+    ``registered`` is the registration of its id. ``others`` are
+    registrations of other ids; those at other addresses are ignored.
     """
-    order = _order(received, known)
+    order = _order(received, registered)
     if not isinstance(order, Order) or order is Order.SAME:
         return order
     for other in others:
@@ -89,44 +89,44 @@
 
 
 def _order(
-    received: instances.Instance, known: instances.Instance | None
+    received: instances.Instance, registered: instances.Instance | None
 ) -> Order | Refusal:
     """Order a message relative to the registration of its id."""
-    if known is None:
+    if registered is None:
         return Order.NEWER
-    if received.born_ms and known.born_ms:
-        if received.born_ms != known.born_ms:
-            is_newer = received.born_ms > known.born_ms
+    if received.born_ms and registered.born_ms:
+        if received.born_ms != registered.born_ms:
+            is_newer = received.born_ms > registered.born_ms
             return Order.NEWER if is_newer else Refusal.OLDER_LIFE
-        return _order_within(received, known)
+        return _order_within(received, registered)
     if received.born_ms:
-        return _order_first_start(received, known)
-    if known.born_ms:
-        return Order.BACK if known.may_return else Refusal.NO_START
-    return _order_within(received, known)
+        return _order_first_start(received, registered)
+    if registered.born_ms:
+        return Order.BACK if registered.may_return else Refusal.NO_START
+    return _order_within(received, registered)
 
 
 def _order_first_start(
-    received: instances.Instance, known: instances.Instance
+    received: instances.Instance, registered: instances.Instance
 ) -> Order | Refusal:
     """Order a message with a start time after an incarnation without."""
-    if not has_ended(known) or received.born_ms > known.since_ms:
+    if not has_ended(registered) or received.born_ms > registered.since_ms:
         return Order.NEWER
-    return _order_within(received, known)
+    return _order_within(received, registered)
 
 
 def _order_within(
-    received: instances.Instance, known: instances.Instance
+    received: instances.Instance, registered: instances.Instance
 ) -> Order | Refusal:
     """Order two messages of one incarnation by sequence number."""
-    if has_ended(known) and not known.may_return:
+    if has_ended(registered) and not registered.may_return:
         return Refusal.LEFT
-    if received.seq < known.seq:
+    if received.seq < registered.seq:
         return Refusal.OLDER_COUNT
-    if has_ended(known):
+    if has_ended(registered):
         return Order.BACK
-    place = (received.service, received.address, received.hall)
-    if place != (known.service, known.address, known.hall):
+    location = (received.service, received.address, received.hall)
+    if location != (registered.service, registered.address, registered.hall):
         return Refusal.MOVED
     return Order.SAME
 
@@ -144,7 +144,10 @@
 
 
 def check_leave(
-    born_ms: int, lives: int, known: instances.Instance | None, now_ms: int
+    born_ms: int,
+    lives: int,
+    registered: instances.Instance | None,
+    now_ms: int,
 ) -> Refusal | None:
     """Return why a leave is ignored; None if it ends the registration.
 
@@ -153,28 +156,35 @@
     leave without a start time soon after a restart may be of the earlier
     incarnation, unless the registered one is draining.
     """
-    if known is None or (has_ended(known) and not known.may_return):
+    if registered is None or (
+        has_ended(registered) and not registered.may_return
+    ):
         return None
-    if born_ms and known.born_ms:
-        return Refusal.OLDER_LIFE if born_ms < known.born_ms else None
-    if lives and lives < known.lives:
+    if born_ms and registered.born_ms:
+        return Refusal.OLDER_LIFE if born_ms < registered.born_ms else None
+    if lives and lives < registered.lives:
         return Refusal.OLDER_LIFE
-    is_fresh = known.lives > 1 and now_ms - known.since_ms < MAX_DELAY_S * 1000
-    if is_fresh and known.state == instances.READY:
+    is_fresh = (
+        registered.lives > 1
+        and now_ms - registered.since_ms < MAX_DELAY_S * 1000
+    )
+    if is_fresh and registered.state == instances.READY:
         return Refusal.EARLY_LEAVE
     return None
 
 
 def updated(
     received: instances.Instance,
-    known: instances.Instance | None,
+    registered: instances.Instance | None,
     order: Order,
     now_ms: int,
 ) -> instances.Instance:
     """Return the registration after an accepted heartbeat."""
-    if order is Order.SAME and known is not None:
-        return received._replace(lives=known.lives, since_ms=known.since_ms)
-    before = known.lives if known else 0
+    if order is Order.SAME and registered is not None:
+        return received._replace(
+            lives=registered.lives, since_ms=registered.since_ms
+        )
+    before = registered.lives if registered else 0
     return received._replace(
         lives=before + 1, since_ms=now_ms, may_return=False
     )
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -413,12 +413,12 @@
     ),
     Mutant(
         'entry: no sequence check on heartbeats', 'incarnations',
-        'if received.seq < known.seq:', 'if False:',
+        'if received.seq < registered.seq:', 'if False:',
         'entry', 'delayed heartbeat',
     ),
     Mutant(
         'entry: no refusal of runners that have left', 'incarnations',
-        'if has_ended(known) and not known.may_return:\n'
+        'if has_ended(registered) and not registered.may_return:\n'
         '        return Refusal',
         'if False:\n        return Refusal', 'entry', 'runner that left',
     ),
@@ -809,17 +809,17 @@
     ),
     Mutant(
         'incarnations: no order check for an older start', 'incarnations',
-        'is_newer = received.born_ms > known.born_ms',
+        'is_newer = received.born_ms > registered.born_ms',
         'is_newer = True', 'lives',
     ),
     Mutant(
         'incarnations: no order check for a newer start', 'incarnations',
-        'is_newer = received.born_ms > known.born_ms',
+        'is_newer = received.born_ms > registered.born_ms',
         'is_newer = False', 'lives',
     ),
     Mutant(
         'incarnations: no sequence check on heartbeats', 'incarnations',
-        'if received.seq < known.seq:',
+        'if received.seq < registered.seq:',
         'if False:', 'lives',
     ),
     Mutant(
@@ -829,17 +829,19 @@
     ),
     Mutant(
         'incarnations: no refusal of moves', 'incarnations',
-        'if place != (known.service, known.address, known.hall):',
+        'if location != (registered.service, registered.address, '
+        'registered.hall):',
         'if False:', 'lives',
     ),
     Mutant(
         'incarnations: no refusal of a missing start time', 'incarnations',
-        'return Order.BACK if known.may_return else Refusal.NO_START',
+        'return Order.BACK if registered.may_return else Refusal.NO_START',
         'return Order.BACK', 'lives',
     ),
     Mutant(
         'incarnations: no check that a start is after a leave', 'incarnations',
-        'if not has_ended(known) or received.born_ms > known.since_ms:',
+        'if not has_ended(registered) or '
+        'received.born_ms > registered.since_ms:',
         'if True:', 'lives',
     ),
     Mutant(
@@ -867,28 +869,27 @@
     ),
     Mutant(
         'incarnations: no start time check on leaves', 'incarnations',
-        'return Refusal.OLDER_LIFE if born_ms < known.born_ms else None',
+        'return Refusal.OLDER_LIFE if born_ms < registered.born_ms else None',
         'return None', 'lives',
     ),
     Mutant(
         'incarnations: no view check on leaves', 'incarnations',
-        'if lives and lives < known.lives:',
+        'if lives and lives < registered.lives:',
         'if False:', 'lives',
     ),
     Mutant(
         'incarnations: no refusal of leaves after a restart', 'incarnations',
-        'if is_fresh and known.state == instances.READY:',
+        'if is_fresh and registered.state == instances.READY:',
         'if False:', 'lives',
     ),
     Mutant(
         'incarnations: no early leave while draining', 'incarnations',
-        'if is_fresh and known.state == instances.READY:',
+        'if is_fresh and registered.state == instances.READY:',
         'if is_fresh:', 'lives',
     ),
     Mutant(
         'incarnations: no early leave of a first incarnation', 'incarnations',
-        'is_fresh = known.lives > 1 and',
-        'is_fresh =', 'lives',
+        'registered.lives > 1\n        and now_ms', 'now_ms', 'lives',
     ),
     Mutant(
         'incarnations: no return after a timeout', 'registry',
