--- a/mountridge/state/statemachine.py
+++ b/mountridge/state/statemachine.py
@@ -2,9 +2,9 @@
 
 """The replicated state machine: every controller applies the same log.
 
-It does no I/O and takes all times from the commands, so equal logs give
-equal states. Replies are not part of the state, except those to updates of
-the table, which a resent update must get again.
+It does no I/O and reads no clock; all times are in the commands. So equal logs
+result in equal states. Replies are not part of the state, except those to
+updates of the table, which a resent update must get again.
 """
 
 import typing
@@ -162,9 +162,9 @@
 def _put_table(
     machine: StateMachine, index: int, command: commands.PutTable
 ) -> messages.PutTableReply:
-    known = machine.operations.get(command.operation_id)
-    if known is not None:
-        return known
+    earlier_reply = machine.operations.get(command.operation_id)
+    if earlier_reply is not None:
+        return earlier_reply
     new = tables.check_rows(command.rows)
     old = machine.rows_by_key
     if command.base_version != machine.version:
@@ -233,7 +233,7 @@
 ) -> messages.Outcome:
     outcome = command.outcome
     if len(outcome.answer) > MAX_STORED_ANSWER:
-        # Without a status no one takes it for the kept answer.
+        # Without a status it is not mistaken for a stored answer.
         outcome = outcome._replace(answer=b'', status=0)
     machine.claims.close(outcome)
     return outcome._replace(answer=b'')
@@ -261,22 +261,22 @@
 ) -> messages.Registered:
     """Update a registration or end it; outdated proposals are ignored.
 
-    The leader has checked the same before, but conflicting proposals may
-    have been on their way to the log together.
+    The leader made the same check before, but conflicting proposals may
+    have been pending at the same time.
     """
     proposed, now_ms = command.instance, round(command.at_s * 1000)
-    known = machine.instances.get(proposed.instance_id)
+    registered = machine.instances.get(proposed.instance_id)
     if incarnations.has_ended(proposed):
-        _end_instance(machine, index, proposed, known, now_ms)
+        _end_instance(machine, index, proposed, registered, now_ms)
         return messages.Registered()
     order = incarnations.classify(
-        proposed, known, machine.other_instances(proposed)
+        proposed, registered, machine.other_instances(proposed)
     )
     if isinstance(order, incarnations.Refusal):
         return messages.Registered()
     if order is not incarnations.Order.SAME:
         _end_at_address(machine, index, proposed, now_ms)
-    registration = incarnations.updated(proposed, known, order, now_ms)
+    registration = incarnations.updated(proposed, registered, order, now_ms)
     _store_instance(machine, index, registration)
     return messages.Registered()
 
@@ -285,23 +285,25 @@
     machine: StateMachine,
     index: int,
     proposed: instances.Instance,
-    known: instances.Instance | None,
+    registered: instances.Instance | None,
     now_ms: int,
 ) -> None:
     """End a registration, unless it is a later one or ended for good."""
-    if known is not None:
-        is_final = incarnations.has_ended(known) and not known.may_return
-        if is_final and proposed.born_ms <= known.born_ms:
+    if registered is not None:
+        is_final = (
+            incarnations.has_ended(registered) and not registered.may_return
+        )
+        if is_final and proposed.born_ms <= registered.born_ms:
             return
-        if proposed.lives not in (0, known.lives):
+        if proposed.lives not in (0, registered.lives):
             return
         if not proposed.lives:
             # There was no registration when it was proposed.
-            if proposed.born_ms and proposed.born_ms < known.born_ms:
+            if proposed.born_ms and proposed.born_ms < registered.born_ms:
                 return
-            proposed = known._replace(
+            proposed = registered._replace(
                 state=proposed.state,
-                born_ms=max(proposed.born_ms, known.born_ms),
+                born_ms=max(proposed.born_ms, registered.born_ms),
                 seq=proposed.seq,
                 may_return=proposed.may_return,
             )
@@ -330,16 +332,18 @@
 ) -> halls.HallState:
     """Take a hall out of service or back, if it is at the revision.
 
-    A hall that is in the wanted state already is acknowledged as it is.
+    If the hall already is in the requested state, nothing changes.
 
     :raises HallChanged: the hall was changed since that revision.
     """
-    known = machine.halls.get(command.hall, halls.default_state(command.hall))
-    if known.is_out == command.is_out:
-        return known
-    if known.revision != command.revision:
+    current = machine.halls.get(
+        command.hall, halls.default_state(command.hall)
+    )
+    if current.is_out == command.is_out:
+        return current
+    if current.revision != command.revision:
         raise errors.HallChanged(
-            f'at revision {known.revision}, not {command.revision}'
+            f'at revision {current.revision}, not {command.revision}'
         )
     state = halls.HallState(command.hall, command.is_out, index, command.at_s)
     machine.halls[command.hall] = state
@@ -365,10 +369,10 @@
     machine: StateMachine, index: int, command: commands.QuarantineRequest
 ) -> quarantines.QuarantinedRequest:
     """Quarantine a request; the oldest ones are removed above the limit."""
-    known = machine.quarantine.get(command.digest)
-    if known is not None and known.is_held:
-        return known
-    before = known or quarantines.QuarantinedRequest(
+    current = machine.quarantine.get(command.digest)
+    if current is not None and current.is_held:
+        return current
+    before = current or quarantines.QuarantinedRequest(
         command.digest, False, 0, 0, 0.0
     )
     entry = quarantines.QuarantinedRequest(
@@ -388,11 +392,11 @@
     machine: StateMachine, index: int, command: commands.ReleaseRequest
 ) -> quarantines.QuarantinedRequest | None:
     """Release a request for a probe, or remove it from the quarantine."""
-    known = machine.quarantine.get(command.digest)
-    if known is None or not command.is_probe:
+    current = machine.quarantine.get(command.digest)
+    if current is None or not command.is_probe:
         _remove_quarantined(machine, index, command.digest)
         return None
-    released = known._replace(is_held=False, since_s=command.at_s)
+    released = current._replace(is_held=False, since_s=command.at_s)
     _store_quarantined(machine, index, released)
     return released
 
@@ -429,8 +433,12 @@
     machine.instances.pop(instance.instance_id, None)
     machine.instances[instance.instance_id] = instance
     machine.view.set(index, key, views.pack(instance))
-    left = [i for i in machine.instances.values() if i.state == instances.LEFT]
-    for oldest in left[:-MAX_ENDED]:
+    ended = [
+        each
+        for each in machine.instances.values()
+        if each.state == instances.LEFT
+    ]
+    for oldest in ended[:-MAX_ENDED]:
         del machine.instances[oldest.instance_id]
         key = views.INSTANCE_PREFIX + oldest.instance_id
         machine.view.set(index, key, None)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -262,7 +262,8 @@
     ),
     Mutant(
         'no operation id check on table updates', 'statemachine',
-        '    if known is not None:\n        return known\n', '',
+        '    if earlier_reply is not None:\n        return earlier_reply\n',
+        '',
         'configuration',
     ),
     Mutant(
@@ -908,7 +909,7 @@
     ),
     Mutant(
         'incarnations: no further leave by a later start', 'statemachine',
-        'if is_final and proposed.born_ms <= known.born_ms:',
+        'if is_final and proposed.born_ms <= registered.born_ms:',
         'if is_final:', 'lives',
     ),
     Mutant(
@@ -918,13 +919,13 @@
     ),
     Mutant(
         'incarnations: no incarnation check on applied leaves', 'statemachine',
-        'if proposed.lives not in (0, known.lives):',
+        'if proposed.lives not in (0, registered.lives):',
         'if False:', 'lives',
     ),
     Mutant(
         'incarnations: no start time check on applied leaves',
         'statemachine',
-        'if proposed.born_ms and proposed.born_ms < known.born_ms:',
+        'if proposed.born_ms and proposed.born_ms < registered.born_ms:',
         'if False:', 'lives', 'before any registration',
     ),
     Mutant(
@@ -1150,11 +1151,11 @@
     ),
     Mutant(
         'halls: no revision check on orders', 'statemachine',
-        'if known.revision != command.revision:', 'if False:', 'halls',
+        'if current.revision != command.revision:', 'if False:', 'halls',
     ),
     Mutant(
         'halls: no acknowledgement of a state already set', 'statemachine',
-        'if known.is_out == command.is_out:', 'if False:', 'halls',
+        'if current.is_out == command.is_out:', 'if False:', 'halls',
         'state of halls',
     ),
     Mutant(
