--- a/mountridge/consensus/entries.py
+++ b/mountridge/consensus/entries.py
@@ -37,7 +37,7 @@
     def with_controller(
         self, node_id: str, address: str, hall: str
     ) -> 'Config':
-        """Return a copy with ``key``, as a learner unless it is a voter."""
+        """Return a copy with ``node_id``, as a learner unless it is a voter."""
         halls = {**self.halls, node_id: hall} if hall else self.halls
         if node_id in self.voters:
             voters = {**self.voters, node_id: address}
@@ -46,13 +46,13 @@
         return self._replace(learners=learners, halls=halls)
 
     def promote(self, node_id: str) -> 'Config':
-        """Return a copy with the learner ``key`` as a voter."""
+        """Return a copy with the learner ``node_id`` as a voter."""
         learners = {k: a for k, a in self.learners.items() if k != node_id}
         voters = {**self.voters, node_id: self.learners[node_id]}
         return self._replace(voters=voters, learners=learners)
 
     def without(self, node_id: str) -> 'Config':
-        """Return a copy without ``key``."""
+        """Return a copy without ``node_id``."""
         return Config(
             *({k: v for k, v in d.items() if k != node_id} for d in self)
         )
