--- a/mountridge/consensus/entries.py
+++ b/mountridge/consensus/entries.py
@@ -37,7 +37,7 @@
     def with_controller(
         self, node_id: str, address: str, hall: str
     ) -> 'Config':
-        """Return a copy with ``node_id``, as a learner unless it is a voter."""
+        """Return a copy with ``node_id``, a learner unless it is a voter."""
         halls = {**self.halls, node_id: hall} if hall else self.halls
         if node_id in self.voters:
             voters = {**self.voters, node_id: address}
