--- a/mountridge/control/leadership.py
+++ b/mountridge/control/leadership.py
@@ -18,7 +18,7 @@
 
 
 class LeaderLookup:
-    """Answers `WhoLeads` queries."""
+    """Answers `FindLeader` queries."""
 
     def __init__(
         self, app: application.Application, replica: replicas.Replica
@@ -31,7 +31,7 @@
     ) -> messages.Registered:
         """Reply if this controller leads; else name the leader once known.
 
-        A leader at the address ``question.besides`` is not named: the caller
+        A leader at the address ``question.excluded`` is not named: the caller
         has found it unresponsive.
 
         :raises NotLeader: with the leader's address; without one if no other
