--- a/mountridge/control/registry.py
+++ b/mountridge/control/registry.py
@@ -55,11 +55,12 @@
         self._timeout_s = TIMEOUT_INTERVALS * interval_s
         #: Time of the last heartbeat of each runner.
         self._heartbeat_s: dict[str, float] = {}
-        #: Newest count by id and start time: each incarnation has its own.
+        #: Newest sequence number by id and start time: each incarnation counts
+        #: its own messages.
         self._newest_seq: dict[tuple[str, int], int] = {}
 
     def begin_term(self) -> None:
-        """Discard the heartbeats of earlier terms; all timeouts start anew."""
+        """Discard the heartbeats of earlier terms; timeouts start again."""
         self._heartbeat_s.clear()
         self._newest_seq.clear()
 
@@ -95,7 +96,7 @@
         return reply
 
     def _refresh(self, heartbeat: messages.Heartbeat) -> bool:
-        """Record a heartbeat that changes nothing; false for any other."""
+        """Record a heartbeat that changes nothing; return false for others."""
         reported = heartbeat.instance
         registered = self.machine.instances.get(reported.instance_id)
         if registered is None or not incarnations.is_unchanged(
@@ -114,9 +115,9 @@
     def _registered_instance(
         self, reported: instances.Instance
     ) -> instances.Instance | None:
-        """Return the registration of an id, with the newest known count.
+        """Return the registration of an id, with its newest sequence number.
 
-        Counts of heartbeats that changed nothing are in memory only.
+        That of a heartbeat that changed nothing is in memory only.
         """
         registered = self.machine.instances.get(reported.instance_id)
         if registered is None:
@@ -263,7 +264,7 @@
         """Remove the runners that have timed out.
 
         The next heartbeat of such a runner registers it again, whatever its
-        count: no earlier report can still be in transit.
+        sequence number: no earlier report can still be in transit.
         """
         now_s = self.app.now_s()
         for key, instance in list(self.machine.instances.items()):
