--- a/mountridge/net/backoffstates.py
+++ b/mountridge/net/backoffstates.py
@@ -3,8 +3,8 @@
 """Backoff that one runner has requested from one sender in its responses.
 
 A runner that refuses a request may ask for a backoff (Retry-After), and one
-that is about to end says so. Such a runner has no requests, so by its load it
-looks like the best choice; only its own responses tell otherwise.
+that is about to end announces it. Such a runner has no requests, so by its
+load it seems the best choice; only its responses show that it is not.
 """
 
 import math
@@ -14,7 +14,7 @@
 #: Used where a runner asks for a backoff whose value can't be parsed: about
 #: as long as a full runner needs to free a slot.
 DEFAULT_BACKOFF_S = 1.0
-#: A longer value is taken to be in another unit, and is cut to this.
+#: A longer value is assumed to be in another unit, and reduced to this.
 MAX_BACKOFF_S = 3600.0
 #: End of the backoff of a runner that has requested none.
 NO_BACKOFF = float('-inf')
@@ -85,7 +85,7 @@
     def record_accepted(self, now_s: float) -> bool:
         """Record that the runner has accepted a request.
 
-        Returns whether that confirms that it takes requests again. A request
+        Returns whether that confirms that it accepts requests again. A request
         that it accepted before it asked for a backoff confirms nothing.
         """
         if not self.is_unconfirmed or not self.may_send(now_s):
