--- a/mountridge/net/dialects.py
+++ b/mountridge/net/dialects.py
@@ -93,7 +93,7 @@
 def read_request_head(
     request: httpserver.Request, names: HeaderNames
 ) -> RequestHead:
-    """Return the parts of the head that determine the handling.
+    """Return the parts of the head that determine the request's handling.
 
     :raises BadRequest: a header is malformed.
     """
@@ -211,7 +211,7 @@
 
 
 def keep_alive_s(headers: Headers) -> float | None:
-    """Return the time-out of idle connections, None if not announced."""
+    """Return the timeout of idle connections, None if not announced."""
     value = _first_values(headers).get(b'keep-alive', b'')
     for parameter in value.split(b','):
         name, _, span = parameter.strip().partition(b'=')
--- a/mountridge/net/httpserver.py
+++ b/mountridge/net/httpserver.py
@@ -42,8 +42,8 @@
 
     def header(self, name: bytes) -> bytes | None:
         """Return the first value of the header ``name`` (lower case)."""
-        for known, value in self.headers:
-            if known.lower() == name:
+        for received_name, value in self.headers:
+            if received_name.lower() == name:
                 return value
         return None
 
@@ -265,7 +265,7 @@
         return event
 
     async def _wait_for_bytes(self, http, stream, idle_s: float) -> bool:
-        """Return whether data arrived before a time-out or the end."""
+        """Return whether data arrived before a timeout or the end."""
         data = b''
         with trio.move_on_after(idle_s) as scope:
             self._idle.add(scope)
--- a/mountridge/net/lasthop.py
+++ b/mountridge/net/lasthop.py
@@ -2,9 +2,9 @@
 
 """The last hop: HTTP/1.1 to runners over persistent connections, with h11.
 
-Runners may answer late, twice, early or without a length, or truncate an
-answer. An answer is matched to its request by the request id that it echoes; a
-connection that delivered anything unexpected is not reused.
+Runners may answer with a delay, twice, early or without a length, or truncate
+an answer. An answer is matched to its request by the request id that it
+echoes; a connection that delivered anything unexpected is not reused.
 """
 
 import contextlib
--- a/mountridge/net/sockets.py
+++ b/mountridge/net/sockets.py
@@ -23,7 +23,7 @@
 #: Well below 3 s, within which boxes must be up to date after a network
 #: partition. Calls repeat what a closed connection has lost.
 HEARTBEAT_MS = 1000
-#: Time-out of an attempt to connect: a few round trips between regions. After
+#: Timeout of an attempt to connect: a few round trips between regions. After
 #: a network partition the kernel would repeat the SYN only after 1, 2 and 4 s.
 CONNECT_MS = 400
 #: Shortest and longest pause between attempts to connect.
