--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -368,7 +368,7 @@
         app = self
 
         class Connection:
-            async def call(self, message, timeout_s, late=None):
+            async def call(self, message, timeout_s, delay_callback=None):
                 if peer == 'a':
                     await trio.sleep(timeout_s)
                     raise errors.NoController('no reply in time')
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -41,7 +41,7 @@
     def connect(self, address, peer, on_message=None, on_received=None):
         self.on_received[peer] = on_received
         return types.SimpleNamespace(
-            call=lambda message, timeout_s, late=None: self._answer(
+            call=lambda message, timeout_s, delay_callback=None: self._answer(
                 peer, timeout_s
             ),
             close=lambda: None,
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -61,7 +61,7 @@
     def connect(self, address, peer, on_message=None, on_received=None):
         self.open.add(address)
 
-        async def call(message, timeout_s, late=None):
+        async def call(message, timeout_s, delay_callback=None):
             sender, receiver = trio.open_memory_channel(1)
 
             async def run():
@@ -71,7 +71,11 @@
                     sender.send_nowait(problem)
 
             self.start_task(run)
-            waits = [(late[0], late[1])] if late else []
+            waits = (
+                [(delay_callback[0], delay_callback[1])]
+                if delay_callback
+                else []
+            )
             waits.append((timeout_s - sum(w[0] for w in waits), None))
             for wait_s, on_timeout in waits:
                 with trio.move_on_after(wait_s):
