--- a/mountridge/application.py
+++ b/mountridge/application.py
@@ -110,9 +110,9 @@
     ) -> sockets.Connection:
         """Return a running connection to the process ``peer``."""
         channel = self.open_dealer(address, peer)
-        caller = sockets.Connection(channel, on_message, on_received)
-        self.start_task(caller.run)
-        return caller
+        connection = sockets.Connection(channel, on_message, on_received)
+        self.start_task(connection.run)
+        return connection
 
     def send(self, route: bytes, message: typing.Any, seq: int = 0) -> bool:
         """Send to a peer that is connected to the bound channel."""
--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -153,9 +153,9 @@
 
         async def ask_member(member) -> None:
             try:
-                caller = app.connect(member['address'], member['name'])
+                connection = app.connect(member['address'], member['name'])
                 question = messages.ReadDecisions(request_id, count)
-                reply = await caller.call(question, 2.0)
+                reply = await connection.call(question, 2.0)
                 found.extend(reply.records)
             except errors.NoController:
                 click.echo(f'{member["name"]} did not answer', err=True)
--- a/mountridge/clistorage.py
+++ b/mountridge/clistorage.py
@@ -57,9 +57,9 @@
             if not await _is_listening(address):
                 continue
             question = messages.Admin('status', '', '')
-            caller = app.connect(address, name)
+            connection = app.connect(address, name)
             try:
-                reply = await caller.call(question, PROBE_TIMEOUT_S)
+                reply = await connection.call(question, PROBE_TIMEOUT_S)
             except errors.NoController:
                 raise errors.RefusedChange(
                     f'{name} is running but did not answer'
--- a/mountridge/control/changes.py
+++ b/mountridge/control/changes.py
@@ -73,13 +73,13 @@
         return '\n'.join(lines)
 
     async def _add(self, message: messages.Admin) -> str:
-        caller = self.app.connect(message.address, message.name)
+        connection = self.app.connect(message.address, message.name)
         try:
-            reply = await caller.call(
+            reply = await connection.call(
                 messages.Admin('whoami', '', ''), WHOAMI_TIMEOUT_S
             )
         finally:
-            caller.close()
+            connection.close()
         config = self.replica.node.config
         current_address = config.addresses().get(reply.text)
         if current_address not in (None, message.address):
--- a/mountridge/control/formation.py
+++ b/mountridge/control/formation.py
@@ -256,16 +256,16 @@
 
     async def announce_to_seeds(self) -> None:
         """While leading, send the list of controllers to the seeds."""
-        callers: dict[str, sockets.Connection] = {}
+        connections: dict[str, sockets.Connection] = {}
         while True:
             await trio.sleep(ANNOUNCE_INTERVAL_S)
             if not self.replica.lease_valid():
                 continue
             announcement = messages.Controllers(self.controllers())
             for address in self.leader.seeds:
-                if address not in callers:
-                    callers[address] = self.app.connect(address, '')
-                if not callers[address].send(announcement):
+                if address not in connections:
+                    connections[address] = self.app.connect(address, '')
+                if not connections[address].send(announcement):
                     self.app.metrics.incr('seed.unsent')
 
     async def reconcile(self) -> None:
--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -67,7 +67,7 @@
         self._names = {configured[name]: name for name in sorted(configured)}
         self.seeds: list[str] = []
         self.update_seeds(app.settings)
-        self._callers: dict[str, sockets.Connection] = {}
+        self._connections: dict[str, sockets.Connection] = {}
         self._current = next(iter(self._names))
         self._unresponsive_until_s: dict[str, float] = {}
         #: Calls that wait for a reply, with their addresses.
@@ -95,23 +95,23 @@
             names.setdefault(address, '')
         names.setdefault(self._current, '')
         self._names = names
-        for address in list(self._callers):
+        for address in list(self._connections):
             if address not in names:
-                self._callers.pop(address).close()
+                self._connections.pop(address).close()
 
-    def _caller(self, address: str) -> sockets.Connection:
-        if address not in self._callers:
+    def _connection(self, address: str) -> sockets.Connection:
+        if address not in self._connections:
 
             def on_receive() -> None:
                 self._unresponsive_until_s.pop(address, None)
 
-            self._callers[address] = self._app.connect(
+            self._connections[address] = self._app.connect(
                 address,
                 self._names.get(address, ''),
                 self._on_message,
                 on_receive,
             )
-        return self._callers[address]
+        return self._connections[address]
 
     def set_leader(self, address: str) -> None:
         """Use ``address`` as the leader; end attempts at other addresses."""
@@ -129,9 +129,9 @@
         if address:
             self._names[address] = leader
             return address
-        for known, name in self._names.items():
+        for named_address, name in self._names.items():
             if leader and name == leader:
-                return known
+                return named_address
         return ''
 
     async def call(self, message: typing.Any, timeout_s: float):
@@ -170,8 +170,8 @@
         with trio.CancelScope() as scope:
             self._pending[scope] = called
             try:
-                caller = self._caller(called)
-                return await caller.call(
+                connection = self._connection(called)
+                return await connection.call(
                     message, wait_s, (SEARCH_AFTER_S, on_delay)
                 )
             finally:
@@ -235,7 +235,7 @@
         question = messages.FindLeader(excluded)
         while True:
             try:
-                await self._caller(address).call(question, ATTEMPT_S)
+                await self._connection(address).call(question, ATTEMPT_S)
                 break
             except errors.MountridgeError as problem:
                 logger.debug(
@@ -258,8 +258,8 @@
     def _close_unused(self) -> None:
         """Close connections that only a search used; each sends heartbeats."""
         used = {self._current, *self._pending.values()}
-        for address in set(self._callers) - used:
-            self._callers.pop(address).close()
+        for address in set(self._connections) - used:
+            self._connections.pop(address).close()
 
 
 class LeaseRenewer:
@@ -269,12 +269,12 @@
         self,
         app: application.Application,
         leader: LeaderClient,
-        held: leases.HeldLease,
+        lease: leases.HeldLease,
         renewal: typing.Callable[[], messages.Renew],
     ):
         self._app = app
         self._leader = leader
-        self._held = held
+        self._lease = lease
         self._renewal = renewal
         self._settings = app.settings['lease']
         self._wake_event = trio.Event()
@@ -311,10 +311,10 @@
                 self._renewal(), self._settings['lease_s']
             )
             self._leader.update_controllers(grant.controllers)
-            if self._held.apply_grant(grant, sent_s):
+            if self._lease.apply_grant(grant, sent_s):
                 if grant.changes or grant.snapshot:
                     signals.view_changed.send(
-                        self._held, changes=grant.changes
+                        self._lease, changes=grant.changes
                     )
             else:
                 self._app.metrics.incr('lease.older_grant')
@@ -325,9 +325,9 @@
 
     def _report_validity(self) -> None:
         """Log and signal that the lease was gained or lost."""
-        valid = self._held.is_valid(self._app.now_s())
+        valid = self._lease.is_valid(self._app.now_s())
         if valid == self._was_valid:
             return
         self._was_valid = valid
-        logger.info('lease', held=valid, index=self._held.view.index)
-        signals.lease_changed.send(self._held, held=valid)
+        logger.info('lease', held=valid, index=self._lease.view.index)
+        signals.lease_changed.send(self._lease, held=valid)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1032,7 +1032,7 @@
     Mutant(
         'losses: no closing of connections after a search', 'members',
         'used = {self._current, *self._pending.values()}',
-        'used = set(self._callers)', 'losses', 'opened by a search',
+        'used = set(self._connections)', 'losses', 'opened by a search',
     ),
     Mutant(
         'losses: no record of attempted addresses', 'members',
