--- a/mountridge/control/quarantinemanager.py
+++ b/mountridge/control/quarantinemanager.py
@@ -97,11 +97,11 @@
             if at_s > succeeded_s
         }
         self._mark_cleared(digest, succeeded_s)
-        known = self._machine.quarantine.get(digest)
+        current = self._machine.quarantine.get(digest)
         if later:
             self._crashed_s[digest] = later
-        elif known is not None and (seen or not known.is_held):
-            await self._release(digest, is_probing=False, why='succeeded')
+        elif current is not None and (seen or not current.is_held):
+            await self._release(digest, is_probe=False, why='succeeded')
 
     def _mark_cleared(self, digest: bytes, until_s: float) -> None:
         until_s = max(until_s, self._cleared_s.pop(digest, NEVER_S))
@@ -112,11 +112,11 @@
     async def _count_crash(
         self, crash: quarantines.Crash, now_s: float
     ) -> None:
-        known = self._machine.quarantine.get(crash.digest)
+        current = self._machine.quarantine.get(crash.digest)
         crashed_s = now_s - crash.age_s
         if crashed_s <= self._cleared_s.get(crash.digest, NEVER_S):
             return
-        is_probing = known is not None and not known.is_held
+        is_probing = current is not None and not current.is_held
         seen = self._crashed_s.pop(crash.digest, {})
         is_new = crash.incarnation not in seen
         seen.setdefault(crash.incarnation, crashed_s)
@@ -130,7 +130,7 @@
             self.app.metrics.incr('quarantine.suspected')
         # A probed request has crashed several runners before.
         threshold = 1 if is_probing else quarantines.CRASH_THRESHOLD
-        is_quarantined = known is not None and known.is_held
+        is_quarantined = current is not None and current.is_held
         if not is_quarantined and len(seen) >= threshold:
             await self._quarantine(crash.digest, len(seen))
 
@@ -138,35 +138,31 @@
         command = commands.QuarantineRequest(
             digest, crashes, self.app.wall_s()
         )
-        held = await self._replica.propose(commands.encode(command))
+        entry = await self._replica.propose(commands.encode(command))
         self.app.metrics.incr('quarantine.held')
         logger.info(
             'request quarantined',
             digest=digest.hex(),
-            crashes=held.crashes,
-            holds=held.holds,
+            crashes=entry.crashes,
+            holds=entry.holds,
             runners=sorted(
                 incarnation[0]
                 for incarnation in self._crashed_s.get(digest, {})
             ),
-            for_s=quarantine_s(held.holds),
+            for_s=quarantine_s(entry.holds),
         )
         self._push()
 
-    async def _release(
-        self, digest: bytes, is_probing: bool, why: str
-    ) -> None:
-        command = commands.ReleaseRequest(
-            digest, is_probing, self.app.wall_s()
-        )
+    async def _release(self, digest: bytes, is_probe: bool, why: str) -> None:
+        command = commands.ReleaseRequest(digest, is_probe, self.app.wall_s())
         await self._replica.propose(commands.encode(command))
         self._crashed_s.pop(digest, None)
         self._mark_cleared(digest, self.app.now_s())
         self.app.metrics.incr('quarantine.released')
         logger.info(
-            'request released',
+            'request released from quarantine',
             digest=digest.hex(),
-            may_be_held_again_at_once=is_probing,
+            may_be_held_again_at_once=is_probe,
             why=why,
         )
         self._push()
@@ -178,10 +174,10 @@
         for digest in self._since.keys() - listed.keys():
             del self._since[digest]
         for digest, each in list(listed.items()):
-            state, since_s = self._since.get(digest, (None, now_s))
-            if state != each.is_held:
-                state, since_s = each.is_held, now_s
-                self._since[digest] = (state, since_s)
+            was_held, since_s = self._since.get(digest, (None, now_s))
+            if was_held != each.is_held:
+                was_held, since_s = each.is_held, now_s
+                self._since[digest] = (was_held, since_s)
             duration_s = (
                 quarantine_s(each.holds) if each.is_held else PROBING_S
             )
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -765,8 +765,8 @@
     ),
     Mutant(
         'quarantine: no end of probing after success', 'quarantinemanager',
-        'elif known is not None and (seen or not known.is_held):',
-        'elif known is not None and seen:', 'quarantine',
+        'elif current is not None and (seen or not current.is_held):',
+        'elif current is not None and seen:', 'quarantine',
     ),
     Mutant(
         'quarantine: no lower crash threshold while probing',
