--- a/mountridge/controller.py
+++ b/mountridge/controller.py
@@ -140,10 +140,10 @@
         )
         if (renew.name, renew.incarnation) in self._replaced:
             raise errors.StaleIncarnation('a later incarnation has renewed')
-        known = self.machine.members_by_name.get(renew.name)
-        if known and known.incarnation != renew.incarnation:
-            self._replaced.add((renew.name, known.incarnation))
-        if known != member:
+        current = self.machine.members_by_name.get(renew.name)
+        if current and current.incarnation != renew.incarnation:
+            self._replaced.add((renew.name, current.incarnation))
+        if current != member:
             logger.info(
                 'member changed', member=renew.name, state=member.state
             )
@@ -181,9 +181,9 @@
     async def _remove_member(self, name: str) -> None:
         member = self.machine.members_by_name[name]
         logger.info('member changed', member=name, state='gone')
-        gone = member._replace(state='gone')
+        removed = member._replace(state='gone')
         try:
-            await self.propose(commands.SetMember(gone, self.app.wall_s()))
+            await self.propose(commands.SetMember(removed, self.app.wall_s()))
         except errors.MountridgeError as problem:
             logger.debug(
                 'member not removed', member=name, reason=str(problem)
@@ -256,10 +256,10 @@
         ranked: dict[tuple[bool, bool], list[str]] = {}
         for name, holder in sorted(self.leases.holders.items()):
             if holder.renew.kind == 'gateway' and not holder.renew.leaving:
-                is_late = not self.leases.renewed_recently(
+                is_overdue = not self.leases.renewed_recently(
                     name, recent_s, now_s
                 )
-                rank = (is_late, name in controllers)
+                rank = (is_overdue, name in controllers)
                 ranked.setdefault(rank, []).append(name)
         if not ranked:
             return False
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -1139,7 +1139,7 @@
     ),
     Mutant(
         'losses: no preference for recently renewed leases', 'controller',
-        'rank = (is_late, name in controllers)',
+        'rank = (is_overdue, name in controllers)',
         'rank = (False, name in controllers)', 'losses', 'Orders to ranks',
     ),
     Mutant(
