--- a/mountridge/state/members.py
+++ b/mountridge/state/members.py
@@ -329,5 +329,5 @@
         if valid == self._was_valid:
             return
         self._was_valid = valid
-        logger.info('lease', held=valid, index=self._lease.view.index)
+        logger.info('lease changed', held=valid, index=self._lease.view.index)
         signals.lease_changed.send(self._lease, held=valid)
