--- a/mountridge/state/limits.py
+++ b/mountridge/state/limits.py
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
 
-"""Limits across gateways: each row's limits are shared by demand.
+"""Limits across gateways: each row's limits are divided by demand.
 
 The leader grants shares with each lease. A gateway holds its last granted
 share, or more while requests that started under a larger share still run.
@@ -71,10 +71,10 @@
         usage.used_s = now_s
         if share is None or usage.running >= share.concurrency:
             usage.refused += 1
-            held = share.concurrency if share else 0
+            limit = share.concurrency if share else 0
             raise errors.LimitReached(
                 f'row {key}: {usage.running} requests running here, '
-                f'concurrency share {held:g}'
+                f'concurrency share {limit:g}'
             )
         self._refill(usage, share, now_s)
         if usage.tokens < 1:
@@ -182,17 +182,17 @@
         shares = []
         in_use = {}
         for key in self._demand[gateway].keys() | held_by_row.keys():
-            have = held_by_row.get(key, messages.Share(key, 0, 0.0))
+            held_share = held_by_row.get(key, messages.Share(key, 0, 0.0))
             share = messages.Share(key, 0, 0.0)
             if key in rows and key in self._demand[gateway]:
                 share = self._share(gateway, rows[key], now_s)
             if now_s < self._quiet_until_s:
                 share = messages.Share(
                     key,
-                    min(share.concurrency, have.concurrency),
-                    min(share.rate_per_s, have.rate_per_s),
+                    min(share.concurrency, held_share.concurrency),
+                    min(share.rate_per_s, held_share.rate_per_s),
                 )
-            in_use[key] = _larger(have, share)
+            in_use[key] = _larger(held_share, share)
             if share.concurrency or share.rate_per_s:
                 shares.append(share)
         self._in_use[gateway] = in_use
@@ -241,16 +241,16 @@
     """Return the max-min fair share of the first demand in ``demand``.
 
     Each gets its demand up to an equal level. A remainder is split evenly
-    among all gateways; the parts of gateways without demand stay free, so
+    among all gateways; the shares of gateways without demand stay free, so
     that their first requests need not wait.
     """
     level = limit / len(demand)
     remaining = limit
-    for count, want in enumerate(sorted(demand)):
+    for count, requested in enumerate(sorted(demand)):
         level = remaining / (len(demand) - count)
-        if want > level:
+        if requested > level:
             break
-        remaining -= want
+        remaining -= requested
     else:
         return demand[0] + remaining / len(demand)
     return min(demand[0], level)
