--- a/mountridge/state/leases.py
+++ b/mountridge/state/leases.py
@@ -63,7 +63,7 @@
 
 
 class Holder(typing.NamedTuple):
-    """What the leader knows about one lease holder."""
+    """The leader's state of one lease holder."""
 
     renew: messages.Renew
     route: bytes
@@ -142,12 +142,12 @@
         """Return the newest index, up to ``index``, that all holders use."""
         if now_s < self.quiet_until_s:
             return 0
-        live = [
+        unexpired = [
             granted.index
             for _, granted in self._all_granted()
             if granted.until_s > now_s
         ]
-        return min(live + [index])
+        return min(unexpired + [index])
 
     def remove_expired(self, now_s: float) -> list[str]:
         """Remove the holders whose lease has expired; return their names."""
--- a/mountridge/state/views.py
+++ b/mountridge/state/views.py
@@ -60,7 +60,7 @@
 _ROW = msgspec.msgpack.Decoder(tables.Row)
 _MEMBER = msgspec.msgpack.Decoder(Member)
 _INSTANCE = msgspec.msgpack.Decoder(instances.Instance)
-_HELD = msgspec.msgpack.Decoder(quarantines.QuarantinedRequest)
+_QUARANTINED = msgspec.msgpack.Decoder(quarantines.QuarantinedRequest)
 _HALL = msgspec.msgpack.Decoder(halls.HallState)
 _ROUTES = msgspec.msgpack.Decoder(messages.RoutesReply)
 
@@ -92,7 +92,7 @@
 
 def unpack_quarantined(data: bytes) -> quarantines.QuarantinedRequest:
     """Decode a quarantined request."""
-    return _HELD.decode(data)
+    return _QUARANTINED.decode(data)
 
 
 def routes_in(view: 'View') -> messages.RoutesReply:
