--- a/mountridge/application.py
+++ b/mountridge/application.py
@@ -44,7 +44,7 @@
     def __init__(self, settings: dict):
         self.settings = settings
         self.name = settings['name']
-        #: Identifies this run of the process; state of others is void.
+        #: Identifies this run of the process; state of other runs is invalid.
         self.incarnation = utils.fresh_id()
         self.metrics = metrics.open_metrics(settings)
         self.clock = clocks.Clock(self.report_suspension)
--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -146,7 +146,7 @@
     """
 
     async def work(app: application.Application) -> list[dict]:
-        state = await members.LeaderClient(app).call(
+        listed = await members.LeaderClient(app).call(
             messages.ReadMembers(), clitools.CALL_TIMEOUT_S
         )
         found: list[dict] = []
@@ -161,7 +161,7 @@
                 click.echo(f'{member["name"]} did not answer', err=True)
 
         async with trio.open_nursery() as nursery:
-            for member in state.members:
+            for member in listed.members:
                 nursery.start_soon(ask_member, member)
         return sorted(found, key=lambda record: record['at_s'])
 
