--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -302,9 +302,9 @@
 
 
 class Admin(typing.NamedTuple):
-    """Operator to leader: change the controllers or transfer leadership."""
+    """Operator to a controller: show or change the controllers or the leader."""
 
-    action: str  # add, promote, remove, transfer, status
+    action: str  # whoami, status, show, add, promote, remove or transfer
     name: str
     address: str
 
--- a/mountridge/messages/quarantine.py
+++ b/mountridge/messages/quarantine.py
@@ -27,7 +27,7 @@
 
 
 class CrashReportReply(typing.NamedTuple):
-    """The leader has applied a report and quarantined the requests it proves.
+    """The leader has applied a report and the quarantines that result from it.
 
     The change of the quarantine is sent before this reply.
     """
@@ -44,6 +44,6 @@
 
 
 class Release(typing.NamedTuple):
-    """Operator to leader: release a request and forget its crashes."""
+    """Operator to leader: release a request and discard its crashes."""
 
     digest: bytes
