--- a/mountridge/settings.py
+++ b/mountridge/settings.py
@@ -174,10 +174,10 @@
     return vol.Schema(rules, required=True)
 
 
-def merge(defaults: dict, given: dict) -> dict:
-    """Return ``defaults`` overridden by ``given``; mappings are merged."""
+def merge(defaults: dict, overrides: dict) -> dict:
+    """Return ``defaults`` overridden by ``overrides``; mappings are merged."""
     merged = copy.deepcopy(defaults)
-    for key, value in given.items():
+    for key, value in overrides.items():
         if isinstance(value, dict) and isinstance(merged.get(key), dict):
             merged[key] = merge(merged[key], value)
         else:
@@ -219,14 +219,14 @@
     return problems
 
 
-def check(given: typing.Any) -> dict:
+def check(content: typing.Any) -> dict:
     """Validate the content of a file; return the complete settings.
 
     :raises BadSettings: with one line per error, each with its path.
     """
-    if not isinstance(given, dict):
+    if not isinstance(content, dict):
         raise errors.BadSettings('settings: expected a mapping')
-    merged = merge(DEFAULTS, given)
+    merged = merge(DEFAULTS, content)
     try:
         checked = _schema()(merged)
     except vol.MultipleInvalid as problem:
@@ -250,8 +250,8 @@
         text = pathlib.Path(path).read_text()
     except OSError as problem:
         raise errors.BadSettings(f'{path}: {problem.strerror}')
-    given = _parse(text, str(path))
-    return check(given if given is not None else {})
+    content = _parse(text, str(path))
+    return check(content if content is not None else {})
 
 
 def _parse(text: str, name: str) -> typing.Any:
