--- a/mountridge/consensus/replicas.py
+++ b/mountridge/consensus/replicas.py
@@ -213,8 +213,8 @@
         """
         is_own = message.to.partition('.')[0] == self.app.name
         if is_own and isinstance(consensus_message, consensus.LeaderQuery):
-            answer = consensus.NotLeading(consensus_message.start_id)
-            self._send(consensus.Send(message.sender, answer), message.to)
+            reply = consensus.NotLeading(consensus_message.start_id)
+            self._send(consensus.Send(message.sender, reply), message.to)
 
     # The task.
 
--- a/mountridge/consensus/replication.py
+++ b/mountridge/consensus/replication.py
@@ -77,12 +77,12 @@
     node.config_index, node.config = node.log.config()
     if node.role != LEADER:
         return
-    known = node.config.addresses()
-    for peer_id in known:
+    addresses = node.config.addresses()
+    for peer_id in addresses:
         if peer_id != node.node_id and peer_id not in node.peers:
             node.peers[peer_id] = Peer(node.log.last_index + 1)
     for peer_id in list(node.peers):
-        if peer_id not in known:
+        if peer_id not in addresses:
             del node.peers[peer_id]
 
 
@@ -197,7 +197,7 @@
     """Send heartbeats, and entries to peers whose replies were lost.
 
     The reply to an empty message that does not match the peer's log has the
-    index from which replication goes on.
+    index from which replication continues.
     """
     node.next_heartbeat_s = now_s + node.timing.heartbeat_s
     effects: list[Effect] = []
@@ -271,7 +271,7 @@
 
 
 def continue_transfer(node: Node, now_s: float) -> list[Effect]:
-    """Tell the target to start an election once it has all entries."""
+    """Have the target start an election once it has all entries."""
     peer = node.peers.get(node.transfer_target)
     if peer is None:
         return []
@@ -403,16 +403,16 @@
 ) -> list[Effect]:
     """Append a leader's entries if they match the log."""
     if message.term < node.term:
-        answer = AppendEntriesReply(node.term, False, 0, message.sent_s)
-        return [Send(sender, answer)]
+        reply = AppendEntriesReply(node.term, False, 0, message.sent_s)
+        return [Send(sender, reply)]
     effects = _follow_leader(node, sender, message.term, now_s)
     ok, match = _match_log(node, message)
     if ok:
         effects += _append_missing(node, message.entries)
         match = message.prev_index + len(message.entries)
         effects += _commit_up_to(node, min(message.leader_commit, match))
-    answer = AppendEntriesReply(node.term, ok, match, message.sent_s)
-    return effects + [Send(sender, answer)]
+    reply = AppendEntriesReply(node.term, ok, match, message.sent_s)
+    return effects + [Send(sender, reply)]
 
 
 def _match_log(node: Node, message: AppendEntries) -> tuple[bool, int]:
@@ -459,16 +459,16 @@
 ) -> list[Effect]:
     """Collect the chunks of a snapshot and install it once complete."""
     if message.term < node.term:
-        answer = InstallSnapshotReply(node.term, 0, 0, False, message.sent_s)
-        return [Send(sender, answer)]
+        reply = InstallSnapshotReply(node.term, 0, 0, False, message.sent_s)
+        return [Send(sender, reply)]
     effects = _follow_leader(node, sender, message.term, now_s)
     offset, done = _collect_chunk(node, message)
     if done and message.index > node.commit_index:
         effects += _install_snapshot(node, message)
-    answer = InstallSnapshotReply(
+    reply = InstallSnapshotReply(
         node.term, message.index, offset, done, message.sent_s
     )
-    return effects + [Send(sender, answer)]
+    return effects + [Send(sender, reply)]
 
 
 def _collect_chunk(node: Node, message: InstallSnapshot) -> tuple[int, bool]:
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -112,8 +112,8 @@
     ),
     Mutant(
         "no wait for a follower's sync before its answer", 'replication',
-        'return effects + [Send(sender, answer)]\n\n\ndef _match_log',
-        'return effects + [Send(sender, answer, before_sync=True)]\n\n\n'
+        'return effects + [Send(sender, reply)]\n\n\ndef _match_log',
+        'return effects + [Send(sender, reply, before_sync=True)]\n\n\n'
         'def _match_log',
         'consensus',
     ),
