--- a/mountridge/messages/__init__.py
+++ b/mountridge/messages/__init__.py
@@ -302,7 +302,7 @@
 
 
 class Admin(typing.NamedTuple):
-    """Operator to a controller: show or change the controllers or the leader."""
+    """Operator to a controller: show or change the controllers or leader."""
 
     action: str  # whoami, status, show, add, promote, remove or transfer
     name: str
