--- a/mountridge/application.py
+++ b/mountridge/application.py
@@ -44,7 +44,7 @@
     def __init__(self, settings: dict):
         self.settings = settings
         self.name = settings['name']
-        #: Identifies this run of the process; state of others is void.
+        #: Identifies this run of the process; state of other runs is invalid.
         self.incarnation = utils.fresh_id()
         self.metrics = metrics.open_metrics(settings)
         self.clock = clocks.Clock(self.report_suspension)
@@ -110,9 +110,9 @@
     ) -> sockets.Connection:
         """Return a running connection to the process ``peer``."""
         channel = self.open_dealer(address, peer)
-        caller = sockets.Connection(channel, on_message, on_received)
-        self.start_task(caller.run)
-        return caller
+        connection = sockets.Connection(channel, on_message, on_received)
+        self.start_task(connection.run)
+        return connection
 
     def send(self, route: bytes, message: typing.Any, seq: int = 0) -> bool:
         """Send to a peer that is connected to the bound channel."""
--- a/mountridge/cli.py
+++ b/mountridge/cli.py
@@ -146,22 +146,22 @@
     """
 
     async def work(app: application.Application) -> list[dict]:
-        state = await members.LeaderClient(app).call(
+        listed = await members.LeaderClient(app).call(
             messages.ReadMembers(), clitools.CALL_TIMEOUT_S
         )
         found: list[dict] = []
 
         async def ask_member(member) -> None:
             try:
-                caller = app.connect(member['address'], member['name'])
+                connection = app.connect(member['address'], member['name'])
                 question = messages.ReadDecisions(request_id, count)
-                reply = await caller.call(question, 2.0)
+                reply = await connection.call(question, 2.0)
                 found.extend(reply.records)
             except errors.NoController:
                 click.echo(f'{member["name"]} did not answer', err=True)
 
         async with trio.open_nursery() as nursery:
-            for member in state.members:
+            for member in listed.members:
                 nursery.start_soon(ask_member, member)
         return sorted(found, key=lambda record: record['at_s'])
 
--- a/mountridge/control/registry.py
+++ b/mountridge/control/registry.py
@@ -4,7 +4,7 @@
 
 Only a change of a registration goes through the log; a heartbeat that changes
 nothing is answered from memory. A change is acknowledged once it is
-committed, so it survives a loss of the leader. `state/lives.py` decides
+committed, so it survives a loss of the leader. `state/incarnations.py` decides
 which of two reports is newer.
 """
 
@@ -14,7 +14,7 @@
 from mountridge.consensus import replicas
 from mountridge.documents import instances
 from mountridge.logs import logger
-from mountridge.state import commands, lives, statemachine
+from mountridge.state import commands, incarnations, statemachine
 
 __all__ = ['Registry']
 
@@ -30,9 +30,9 @@
 #: one. They are acknowledged all the same, so that the sender does not retry
 #: at another process.
 ACKNOWLEDGED_REFUSALS = (
-    lives.Refusal.OLDER_LIFE,
-    lives.Refusal.OLDER_COUNT,
-    lives.Refusal.LEFT,
+    incarnations.Refusal.OLDER_LIFE,
+    incarnations.Refusal.OLDER_COUNT,
+    incarnations.Refusal.LEFT,
 )
 
 
@@ -55,11 +55,12 @@
         self._timeout_s = TIMEOUT_INTERVALS * interval_s
         #: Time of the last heartbeat of each runner.
         self._heartbeat_s: dict[str, float] = {}
-        #: Newest count by id and start time: each incarnation has its own.
+        #: Newest sequence number by id and start time: each incarnation counts
+        #: its own messages.
         self._newest_seq: dict[tuple[str, int], int] = {}
 
     def begin_term(self) -> None:
-        """Discard the heartbeats of earlier terms; all timeouts start anew."""
+        """Discard the heartbeats of earlier terms; timeouts start again."""
         self._heartbeat_s.clear()
         self._newest_seq.clear()
 
@@ -77,11 +78,11 @@
         registered = self._registered_instance(reported)
         self._check_deployment(reported, registered)
         others = self.machine.other_instances(reported)
-        order = lives.classify(reported, registered, others)
-        if isinstance(order, lives.Refusal):
+        order = incarnations.classify(reported, registered, others)
+        if isinstance(order, incarnations.Refusal):
             return self._refuse(reported, registered, order)
         key = reported.instance_id
-        if order is not lives.Order.SAME:
+        if order is not incarnations.Order.SAME:
             self._report_incarnation(reported, registered, order)
         if registered is not None and registered.born_ms != reported.born_ms:
             self._newest_seq.pop((key, registered.born_ms), None)
@@ -95,10 +96,12 @@
         return reply
 
     def _refresh(self, heartbeat: messages.Heartbeat) -> bool:
-        """Record a heartbeat that changes nothing; false for any other."""
+        """Record a heartbeat that changes nothing; return false for others."""
         reported = heartbeat.instance
         registered = self.machine.instances.get(reported.instance_id)
-        if registered is None or not lives.is_unchanged(reported, registered):
+        if registered is None or not incarnations.is_unchanged(
+            reported, registered
+        ):
             return False
         incarnation = (reported.instance_id, reported.born_ms)
         if heartbeat.seq < max(
@@ -112,9 +115,9 @@
     def _registered_instance(
         self, reported: instances.Instance
     ) -> instances.Instance | None:
-        """Return the registration of an id, with the newest known count.
+        """Return the registration of an id, with its newest sequence number.
 
-        Counts of heartbeats that changed nothing are in memory only.
+        That of a heartbeat that changed nothing is in memory only.
         """
         registered = self.machine.instances.get(reported.instance_id)
         if registered is None:
@@ -158,7 +161,7 @@
         self,
         reported: instances.Instance,
         registered: instances.Instance | None,
-        refusal: lives.Refusal,
+        refusal: incarnations.Refusal,
     ) -> messages.Registered:
         """Acknowledge an outdated heartbeat, or refuse one.
 
@@ -186,7 +189,7 @@
         self,
         reported: instances.Instance,
         registered: instances.Instance | None,
-        order: lives.Order,
+        order: incarnations.Order,
     ) -> None:
         self.app.metrics.incr('runner.lives')
         logger.info(
@@ -231,7 +234,7 @@
         self.replica.check_leader()
         registered = self.machine.instances.get(leave.instance_id)
         now_ms = round(self.app.wall_s() * 1000)
-        refusal = lives.check_leave(
+        refusal = incarnations.check_leave(
             leave.born_ms, leave.lives, registered, now_ms
         )
         # The leave may arrive before any heartbeat.
@@ -261,11 +264,11 @@
         """Remove the runners that have timed out.
 
         The next heartbeat of such a runner registers it again, whatever its
-        count: no earlier report can still be in transit.
+        sequence number: no earlier report can still be in transit.
         """
         now_s = self.app.now_s()
         for key, instance in list(self.machine.instances.items()):
-            if lives.has_ended(instance):
+            if incarnations.has_ended(instance):
                 self._heartbeat_s.pop(key, None)
                 if not instance.may_return:
                     self._newest_seq.pop((key, instance.born_ms), None)
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -112,8 +112,8 @@
     ),
     Mutant(
         "no wait for a follower's sync before its answer", 'replication',
-        'return effects + [Send(sender, answer)]\n\n\ndef _match_log',
-        'return effects + [Send(sender, answer, before_sync=True)]\n\n\n'
+        'return effects + [Send(sender, reply)]\n\n\ndef _match_log',
+        'return effects + [Send(sender, reply, before_sync=True)]\n\n\n'
         'def _match_log',
         'consensus',
     ),
@@ -262,7 +262,8 @@
     ),
     Mutant(
         'no operation id check on table updates', 'statemachine',
-        '    if known is not None:\n        return known\n', '',
+        '    if earlier_reply is not None:\n        return earlier_reply\n',
+        '',
         'configuration',
     ),
     Mutant(
@@ -412,13 +413,13 @@
         'highest version',
     ),
     Mutant(
-        'entry: no sequence check on heartbeats', 'lives',
-        'if received.seq < known.seq:', 'if False:',
+        'entry: no sequence check on heartbeats', 'incarnations',
+        'if received.seq < registered.seq:', 'if False:',
         'entry', 'delayed heartbeat',
     ),
     Mutant(
-        'entry: no refusal of runners that have left', 'lives',
-        'if has_ended(known) and not known.may_return:\n'
+        'entry: no refusal of runners that have left', 'incarnations',
+        'if has_ended(registered) and not registered.may_return:\n'
         '        return Refusal',
         'if False:\n        return Refusal', 'entry', 'runner that left',
     ),
@@ -764,8 +765,8 @@
     ),
     Mutant(
         'quarantine: no end of probing after success', 'quarantinemanager',
-        'elif known is not None and (seen or not known.is_held):',
-        'elif known is not None and seen:', 'quarantine',
+        'elif current is not None and (seen or not current.is_held):',
+        'elif current is not None and seen:', 'quarantine',
     ),
     Mutant(
         'quarantine: no lower crash threshold while probing',
@@ -808,18 +809,18 @@
         'if False:', 'forwarding',
     ),
     Mutant(
-        'incarnations: no order check for an older start', 'lives',
-        'is_newer = received.born_ms > known.born_ms',
+        'incarnations: no order check for an older start', 'incarnations',
+        'is_newer = received.born_ms > registered.born_ms',
         'is_newer = True', 'lives',
     ),
     Mutant(
-        'incarnations: no order check for a newer start', 'lives',
-        'is_newer = received.born_ms > known.born_ms',
+        'incarnations: no order check for a newer start', 'incarnations',
+        'is_newer = received.born_ms > registered.born_ms',
         'is_newer = False', 'lives',
     ),
     Mutant(
-        'incarnations: no sequence check on heartbeats', 'lives',
-        'if received.seq < known.seq:',
+        'incarnations: no sequence check on heartbeats', 'incarnations',
+        'if received.seq < registered.seq:',
         'if False:', 'lives',
     ),
     Mutant(
@@ -828,65 +829,68 @@
         'reported = heartbeat.instance', 'lives',
     ),
     Mutant(
-        'incarnations: no refusal of moves', 'lives',
-        'if place != (known.service, known.address, known.hall):',
+        'incarnations: no refusal of moves', 'incarnations',
+        'if location != (registered.service, registered.address, '
+        'registered.hall):',
         'if False:', 'lives',
     ),
     Mutant(
-        'incarnations: no refusal of a missing start time', 'lives',
-        'return Order.BACK if known.may_return else Refusal.NO_START',
+        'incarnations: no refusal of a missing start time', 'incarnations',
+        'return Order.BACK if registered.may_return else Refusal.NO_START',
         'return Order.BACK', 'lives',
     ),
     Mutant(
-        'incarnations: no check that a start is after a leave', 'lives',
-        'if not has_ended(known) or received.born_ms > known.since_ms:',
+        'incarnations: no check that a start is after a leave', 'incarnations',
+        'if not has_ended(registered) or '
+        'received.born_ms > registered.since_ms:',
         'if True:', 'lives',
     ),
     Mutant(
-        'incarnations: no start order for a shared address', 'lives',
+        'incarnations: no start order for a shared address', 'incarnations',
         'return other.born_ms < received.born_ms',
         'return True', 'lives',
     ),
     Mutant(
-        'incarnations: no start order against ended holders', 'lives',
+        'incarnations: no start order against ended holders', 'incarnations',
         'if other.born_ms and received.born_ms:',
         'if other.born_ms and received.born_ms and not has_ended(other):',
         'lives',
     ),
     Mutant(
-        'incarnations: no protection of an address on a return', 'lives',
+        'incarnations: no protection of an address on a return',
+        'incarnations',
         'return order is Order.NEWER and not other.born_ms',
         'return not other.born_ms', 'lives',
     ),
     Mutant(
-        'incarnations: no protection of an address by start time', 'lives',
+        'incarnations: no protection of an address by start time',
+        'incarnations',
         'return order is Order.NEWER and not other.born_ms',
         'return order is Order.NEWER', 'lives',
     ),
     Mutant(
-        'incarnations: no start time check on leaves', 'lives',
-        'return Refusal.OLDER_LIFE if born_ms < known.born_ms else None',
+        'incarnations: no start time check on leaves', 'incarnations',
+        'return Refusal.OLDER_LIFE if born_ms < registered.born_ms else None',
         'return None', 'lives',
     ),
     Mutant(
-        'incarnations: no view check on leaves', 'lives',
-        'if lives and lives < known.lives:',
+        'incarnations: no view check on leaves', 'incarnations',
+        'if lives and lives < registered.lives:',
         'if False:', 'lives',
     ),
     Mutant(
-        'incarnations: no refusal of leaves after a restart', 'lives',
-        'if is_fresh and known.state == instances.READY:',
+        'incarnations: no refusal of leaves after a restart', 'incarnations',
+        'if is_fresh and registered.state == instances.READY:',
         'if False:', 'lives',
     ),
     Mutant(
-        'incarnations: no early leave while draining', 'lives',
-        'if is_fresh and known.state == instances.READY:',
+        'incarnations: no early leave while draining', 'incarnations',
+        'if is_fresh and registered.state == instances.READY:',
         'if is_fresh:', 'lives',
     ),
     Mutant(
-        'incarnations: no early leave of a first incarnation', 'lives',
-        'is_fresh = known.lives > 1 and',
-        'is_fresh =', 'lives',
+        'incarnations: no early leave of a first incarnation', 'incarnations',
+        'registered.lives > 1\n        and now_ms', 'now_ms', 'lives',
     ),
     Mutant(
         'incarnations: no return after a timeout', 'registry',
@@ -905,23 +909,23 @@
     ),
     Mutant(
         'incarnations: no further leave by a later start', 'statemachine',
-        'if is_final and proposed.born_ms <= known.born_ms:',
+        'if is_final and proposed.born_ms <= registered.born_ms:',
         'if is_final:', 'lives',
     ),
     Mutant(
         'incarnations: no order check in the state machine', 'statemachine',
-        'if isinstance(order, lives.Refusal):',
+        'if isinstance(order, incarnations.Refusal):',
         'if False:', 'lives',
     ),
     Mutant(
         'incarnations: no incarnation check on applied leaves', 'statemachine',
-        'if proposed.lives not in (0, known.lives):',
+        'if proposed.lives not in (0, registered.lives):',
         'if False:', 'lives',
     ),
     Mutant(
         'incarnations: no start time check on applied leaves',
         'statemachine',
-        'if proposed.born_ms and proposed.born_ms < known.born_ms:',
+        'if proposed.born_ms and proposed.born_ms < registered.born_ms:',
         'if False:', 'lives', 'before any registration',
     ),
     Mutant(
@@ -1028,7 +1032,7 @@
     Mutant(
         'losses: no closing of connections after a search', 'members',
         'used = {self._current, *self._pending.values()}',
-        'used = set(self._callers)', 'losses', 'opened by a search',
+        'used = set(self._connections)', 'losses', 'opened by a search',
     ),
     Mutant(
         'losses: no record of attempted addresses', 'members',
@@ -1135,7 +1139,7 @@
     ),
     Mutant(
         'losses: no preference for recently renewed leases', 'controller',
-        'rank = (is_late, name in controllers)',
+        'rank = (is_overdue, name in controllers)',
         'rank = (False, name in controllers)', 'losses', 'Orders to ranks',
     ),
     Mutant(
@@ -1147,11 +1151,11 @@
     ),
     Mutant(
         'halls: no revision check on orders', 'statemachine',
-        'if known.revision != command.revision:', 'if False:', 'halls',
+        'if current.revision != command.revision:', 'if False:', 'halls',
     ),
     Mutant(
         'halls: no acknowledgement of a state already set', 'statemachine',
-        'if known.is_out == command.is_out:', 'if False:', 'halls',
+        'if current.is_out == command.is_out:', 'if False:', 'halls',
         'state of halls',
     ),
     Mutant(
