--- a/features/steps/closedgroups_steps.py
+++ b/features/steps/closedgroups_steps.py
@@ -207,7 +207,9 @@
         self.requests += 1
         now_s = trio.current_time()
         exchange = types.SimpleNamespace(
-            service='s', attempted=set(), started_s=now_s,
+            service='s',
+            attempted=set(),
+            started_s=now_s,
             deadline_s=now_s + 8.0,
         )
         while not await self.is_accepted(gateway, exchange):
