--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -8,43 +8,43 @@
     And no gateway or agent accepts requests under the old table once the new one is in force
 
     Examples:
-      | message | fault |
-      | Grant   | is lost |
-      | Grant   | comes twice |
-      | Grant   | comes late |
-      | Grant   | kills its sender before it leaves |
-      | Grant   | kills its sender after it left |
-      | Grant   | kills its receiver before it comes |
-      | Grant   | kills its receiver after it came |
-      | Grant   | meets a cut both ways |
-      | Grant   | meets a cut one way |
-      | Grant   | freezes its sender |
-      | Grant   | freezes its receiver |
-      | Grant   | cuts its receiver off |
-      | Changes | is lost |
-      | Changes | comes twice |
-      | Changes | comes late |
-      | Changes | kills its sender before it leaves |
-      | Changes | kills its sender after it left |
-      | Changes | kills its receiver before it comes |
-      | Changes | kills its receiver after it came |
-      | Changes | meets a cut both ways |
-      | Changes | meets a cut one way |
-      | Changes | freezes its sender |
-      | Changes | freezes its receiver |
-      | Changes | cuts its receiver off |
-      | Renew   | is lost |
-      | Renew   | comes twice |
-      | Renew   | comes late |
-      | Renew   | kills its sender before it leaves |
-      | Renew   | kills its sender after it left |
-      | Renew   | kills its receiver before it comes |
-      | Renew   | kills its receiver after it came |
-      | Renew   | meets a cut both ways |
-      | Renew   | meets a cut one way |
-      | Renew   | freezes its sender |
-      | Renew   | freezes its receiver |
-      | Renew   | cuts its receiver off |
+      | message | fault                                  |
+      | Grant   | is lost                                |
+      | Grant   | is duplicated                          |
+      | Grant   | is delayed                             |
+      | Grant   | kills its sender before it is sent     |
+      | Grant   | kills its sender after it is sent      |
+      | Grant   | kills its receiver before it arrives   |
+      | Grant   | kills its receiver after it is handled |
+      | Grant   | cuts its link in both directions       |
+      | Grant   | cuts its link for replies              |
+      | Grant   | freezes its sender                     |
+      | Grant   | freezes its receiver                   |
+      | Grant   | isolates its receiver                  |
+      | Changes | is lost                                |
+      | Changes | is duplicated                          |
+      | Changes | is delayed                             |
+      | Changes | kills its sender before it is sent     |
+      | Changes | kills its sender after it is sent      |
+      | Changes | kills its receiver before it arrives   |
+      | Changes | kills its receiver after it is handled |
+      | Changes | cuts its link in both directions       |
+      | Changes | cuts its link for replies              |
+      | Changes | freezes its sender                     |
+      | Changes | freezes its receiver                   |
+      | Changes | isolates its receiver                  |
+      | Renew   | is lost                                |
+      | Renew   | is duplicated                          |
+      | Renew   | is delayed                             |
+      | Renew   | kills its sender before it is sent     |
+      | Renew   | kills its sender after it is sent      |
+      | Renew   | kills its receiver before it arrives   |
+      | Renew   | kills its receiver after it is handled |
+      | Renew   | cuts its link in both directions       |
+      | Renew   | cuts its link for replies              |
+      | Renew   | freezes its sender                     |
+      | Renew   | freezes its receiver                   |
+      | Renew   | isolates its receiver                  |
 
   Scenario Outline: The leader is <fault> just after it accepted a put
     Given a system of 2 gateways, 2 agents and 3 controllers
--- a/features/halls.feature
+++ b/features/halls.feature
@@ -12,28 +12,28 @@
     And requests are sent to "south" again within 3 s of the second order
 
     Examples:
-      | message    | fault                              | later | most |
-      | ReadHalls  | is lost                            | 8     | 5    |
-      | ReadHalls  | comes twice                        | 0     | 5    |
-      | ReadHalls  | comes late                         | 0     | 5    |
-      | ReadHalls  | kills its receiver before it comes | 8     | 5    |
-      | ReadHalls  | freezes its sender                 | 0     | 5    |
-      | HallsReply | is lost                            | 8     | 5    |
-      | HallsReply | comes late                         | 0     | 5    |
-      | SetHall    | is lost                            | 8     | 5    |
-      | SetHall    | comes twice                        | 0     | 5    |
-      | SetHall    | comes late                         | 0     | 5    |
-      | SetHall    | kills its sender before it leaves  | 8     | 5    |
-      | SetHall    | kills its sender after it left     | 8     | 5    |
-      | SetHall    | kills its receiver before it comes | 8     | 5    |
-      | SetHall    | kills its receiver after it came   | 8     | 5    |
-      | SetHall    | meets a cut both ways              | 0     | 5    |
-      | SetHall    | meets a cut one way                | 0     | 5    |
-      | SetHall    | freezes its sender                 | 0     | 5    |
-      | SetHall    | freezes its receiver               | 0     | 6    |
-      | SetHall    | cuts its receiver off              | 8     | 5    |
-      | Changes    | is lost                            | 8     | 5    |
-      | Changes    | kills its sender before it leaves  | 8     | 5    |
+      | message    | fault                                  | later | most |
+      | ReadHalls  | is lost                                | 8     | 5    |
+      | ReadHalls  | is duplicated                          | 0     | 5    |
+      | ReadHalls  | is delayed                             | 0     | 5    |
+      | ReadHalls  | kills its receiver before it arrives   | 8     | 5    |
+      | ReadHalls  | freezes its sender                     | 0     | 5    |
+      | HallsReply | is lost                                | 8     | 5    |
+      | HallsReply | is delayed                             | 0     | 5    |
+      | SetHall    | is lost                                | 8     | 5    |
+      | SetHall    | is duplicated                          | 0     | 5    |
+      | SetHall    | is delayed                             | 0     | 5    |
+      | SetHall    | kills its sender before it is sent     | 8     | 5    |
+      | SetHall    | kills its sender after it is sent      | 8     | 5    |
+      | SetHall    | kills its receiver before it arrives   | 8     | 5    |
+      | SetHall    | kills its receiver after it is handled | 8     | 5    |
+      | SetHall    | cuts its link in both directions       | 0     | 5    |
+      | SetHall    | cuts its link for replies              | 0     | 5    |
+      | SetHall    | freezes its sender                     | 0     | 5    |
+      | SetHall    | freezes its receiver                   | 0     | 6    |
+      | SetHall    | isolates its receiver                  | 8     | 5    |
+      | Changes    | is lost                                | 8     | 5    |
+      | Changes    | kills its sender before it is sent     | 8     | 5    |
 
   Scenario Outline: <what> right after a hall was taken out
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
@@ -43,11 +43,11 @@
     And requests are sent to "south" again within 3 s of the second order
 
     Examples:
-      | what                                    |
-      | all processes lose power                |
-      | the leader loses its disk               |
-      | an entry is deaf for a lease            |
-      | its entry and its controllers are lost  |
+      | what                                   |
+      | all processes lose power               |
+      | the leader loses its disk              |
+      | an entry is deaf for a lease           |
+      | its entry and its controllers are lost |
 
   Scenario: Orders on both sides of a cut
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
@@ -106,12 +106,12 @@
     Then the answer is <status> with code <code>
 
     Examples:
-      | name    | known        | status | code |
-      | south   | south, north | 200    | 0    |
-      | south   | none         | 200    | 0    |
-      | west    | south, north | 404    | 1110 |
-      | %2e/x   | none         | 400    | 1100 |
-      | -s      | none         | 400    | 1100 |
+      | name  | known        | status | code |
+      | south | south, north | 200    | 0    |
+      | south | none         | 200    | 0    |
+      | west  | south, north | 404    | 1110 |
+      | %2e/x | none         | 400    | 1100 |
+      | -s    | none         | 400    | 1100 |
 
   Scenario: Reloaded settings name a new hall
     Given an entry's orders for halls
@@ -124,11 +124,11 @@
     Then the command exits with <code> and prints <text>
 
     Examples:
-      | command       | code | text                                   |
-      | list          | 0    | south in service 7                     |
-      | drain south   | 0    | hall south, state out, revision 8      |
+      | command       | code | text                                     |
+      | list          | 0    | south in service 7                       |
+      | drain south   | 0    | hall south, state out, revision 8        |
       | restore south | 0    | hall south, state in service, revision 7 |
-      | drain west/   | 1    | error 1100                             |
+      | drain west/   | 1    | error 1100                               |
 
   Scenario Outline: A hall that was put back is ramped up, with <per_s> requests a second
     Given 39 gateways in 3 halls and 72 runners of 5 slots
--- a/features/requests.feature
+++ b/features/requests.feature
@@ -11,67 +11,67 @@
     And it had not run whenever it was reported as not run
 
     Examples:
-      | message | fault |
-      | Claim | is lost |
-      | Claim | comes twice |
-      | Claim | comes late |
-      | Claim | kills its sender before it leaves |
-      | Claim | kills its sender after it left |
-      | Claim | kills its receiver before it comes |
-      | Claim | kills its receiver after it came |
-      | Claim | meets a cut both ways |
-      | Claim | meets a cut one way |
-      | Claim | freezes its sender |
-      | Claim | freezes its receiver |
-      | Claim | cuts its receiver off |
-      | ClaimReply | is lost |
-      | ClaimReply | comes twice |
-      | ClaimReply | comes late |
-      | ClaimReply | kills its sender before it leaves |
-      | ClaimReply | kills its sender after it left |
-      | ClaimReply | kills its receiver before it comes |
-      | ClaimReply | kills its receiver after it came |
-      | ClaimReply | meets a cut both ways |
-      | ClaimReply | meets a cut one way |
-      | ClaimReply | freezes its sender |
-      | ClaimReply | freezes its receiver |
-      | ClaimReply | cuts its receiver off |
-      | Ticket | is lost |
-      | Ticket | comes twice |
-      | Ticket | comes late |
-      | Ticket | kills its sender before it leaves |
-      | Ticket | kills its sender after it left |
-      | Ticket | kills its receiver before it comes |
-      | Ticket | kills its receiver after it came |
-      | Ticket | meets a cut both ways |
-      | Ticket | meets a cut one way |
-      | Ticket | freezes its sender |
-      | Ticket | freezes its receiver |
-      | Ticket | cuts its receiver off |
-      | Frames | is lost |
-      | Frames | comes twice |
-      | Frames | comes late |
-      | Frames | kills its sender before it leaves |
-      | Frames | kills its sender after it left |
-      | Frames | kills its receiver before it comes |
-      | Frames | kills its receiver after it came |
-      | Frames | meets a cut both ways |
-      | Frames | meets a cut one way |
-      | Frames | freezes its sender |
-      | Frames | freezes its receiver |
-      | Frames | cuts its receiver off |
-      | Outcome | is lost |
-      | Outcome | comes twice |
-      | Outcome | comes late |
-      | Outcome | kills its sender before it leaves |
-      | Outcome | kills its sender after it left |
-      | Outcome | kills its receiver before it comes |
-      | Outcome | kills its receiver after it came |
-      | Outcome | meets a cut both ways |
-      | Outcome | meets a cut one way |
-      | Outcome | freezes its sender |
-      | Outcome | freezes its receiver |
-      | Outcome | cuts its receiver off |
+      | message    | fault                                  |
+      | Claim      | is lost                                |
+      | Claim      | is duplicated                          |
+      | Claim      | is delayed                             |
+      | Claim      | kills its sender before it is sent     |
+      | Claim      | kills its sender after it is sent      |
+      | Claim      | kills its receiver before it arrives   |
+      | Claim      | kills its receiver after it is handled |
+      | Claim      | cuts its link in both directions       |
+      | Claim      | cuts its link for replies              |
+      | Claim      | freezes its sender                     |
+      | Claim      | freezes its receiver                   |
+      | Claim      | isolates its receiver                  |
+      | ClaimReply | is lost                                |
+      | ClaimReply | is duplicated                          |
+      | ClaimReply | is delayed                             |
+      | ClaimReply | kills its sender before it is sent     |
+      | ClaimReply | kills its sender after it is sent      |
+      | ClaimReply | kills its receiver before it arrives   |
+      | ClaimReply | kills its receiver after it is handled |
+      | ClaimReply | cuts its link in both directions       |
+      | ClaimReply | cuts its link for replies              |
+      | ClaimReply | freezes its sender                     |
+      | ClaimReply | freezes its receiver                   |
+      | ClaimReply | isolates its receiver                  |
+      | Ticket     | is lost                                |
+      | Ticket     | is duplicated                          |
+      | Ticket     | is delayed                             |
+      | Ticket     | kills its sender before it is sent     |
+      | Ticket     | kills its sender after it is sent      |
+      | Ticket     | kills its receiver before it arrives   |
+      | Ticket     | kills its receiver after it is handled |
+      | Ticket     | cuts its link in both directions       |
+      | Ticket     | cuts its link for replies              |
+      | Ticket     | freezes its sender                     |
+      | Ticket     | freezes its receiver                   |
+      | Ticket     | isolates its receiver                  |
+      | Frames     | is lost                                |
+      | Frames     | is duplicated                          |
+      | Frames     | is delayed                             |
+      | Frames     | kills its sender before it is sent     |
+      | Frames     | kills its sender after it is sent      |
+      | Frames     | kills its receiver before it arrives   |
+      | Frames     | kills its receiver after it is handled |
+      | Frames     | cuts its link in both directions       |
+      | Frames     | cuts its link for replies              |
+      | Frames     | freezes its sender                     |
+      | Frames     | freezes its receiver                   |
+      | Frames     | isolates its receiver                  |
+      | Outcome    | is lost                                |
+      | Outcome    | is duplicated                          |
+      | Outcome    | is delayed                             |
+      | Outcome    | kills its sender before it is sent     |
+      | Outcome    | kills its sender after it is sent      |
+      | Outcome    | kills its receiver before it arrives   |
+      | Outcome    | kills its receiver after it is handled |
+      | Outcome    | cuts its link in both directions       |
+      | Outcome    | cuts its link for replies              |
+      | Outcome    | freezes its sender                     |
+      | Outcome    | freezes its receiver                   |
+      | Outcome    | isolates its receiver                  |
 
   Scenario Outline: Nothing reported as not run has run when <message> <fault>
     Given a system of 2 gateways, 2 agents and 3 controllers
@@ -80,55 +80,55 @@
     Then it ran at most once, and not at all if it was reported as not run
 
     Examples:
-      | message | fault |
-      | Claim | is lost |
-      | Claim | comes twice |
-      | Claim | comes late |
-      | Claim | kills its sender before it leaves |
-      | Claim | kills its sender after it left |
-      | Claim | kills its receiver before it comes |
-      | Claim | kills its receiver after it came |
-      | Claim | meets a cut both ways |
-      | Claim | meets a cut one way |
-      | Claim | freezes its sender |
-      | Claim | freezes its receiver |
-      | Claim | cuts its receiver off |
-      | ClaimReply | is lost |
-      | ClaimReply | comes twice |
-      | ClaimReply | comes late |
-      | ClaimReply | kills its sender before it leaves |
-      | ClaimReply | kills its sender after it left |
-      | ClaimReply | kills its receiver before it comes |
-      | ClaimReply | kills its receiver after it came |
-      | ClaimReply | meets a cut both ways |
-      | ClaimReply | meets a cut one way |
-      | ClaimReply | freezes its sender |
-      | ClaimReply | freezes its receiver |
-      | ClaimReply | cuts its receiver off |
-      | Ticket | is lost |
-      | Ticket | comes twice |
-      | Ticket | comes late |
-      | Ticket | kills its sender before it leaves |
-      | Ticket | kills its sender after it left |
-      | Ticket | kills its receiver before it comes |
-      | Ticket | kills its receiver after it came |
-      | Ticket | meets a cut both ways |
-      | Ticket | meets a cut one way |
-      | Ticket | freezes its sender |
-      | Ticket | freezes its receiver |
-      | Ticket | cuts its receiver off |
-      | Frames | is lost |
-      | Frames | comes twice |
-      | Frames | comes late |
-      | Frames | kills its sender before it leaves |
-      | Frames | kills its sender after it left |
-      | Frames | kills its receiver before it comes |
-      | Frames | kills its receiver after it came |
-      | Frames | meets a cut both ways |
-      | Frames | meets a cut one way |
-      | Frames | freezes its sender |
-      | Frames | freezes its receiver |
-      | Frames | cuts its receiver off |
+      | message    | fault                                  |
+      | Claim      | is lost                                |
+      | Claim      | is duplicated                          |
+      | Claim      | is delayed                             |
+      | Claim      | kills its sender before it is sent     |
+      | Claim      | kills its sender after it is sent      |
+      | Claim      | kills its receiver before it arrives   |
+      | Claim      | kills its receiver after it is handled |
+      | Claim      | cuts its link in both directions       |
+      | Claim      | cuts its link for replies              |
+      | Claim      | freezes its sender                     |
+      | Claim      | freezes its receiver                   |
+      | Claim      | isolates its receiver                  |
+      | ClaimReply | is lost                                |
+      | ClaimReply | is duplicated                          |
+      | ClaimReply | is delayed                             |
+      | ClaimReply | kills its sender before it is sent     |
+      | ClaimReply | kills its sender after it is sent      |
+      | ClaimReply | kills its receiver before it arrives   |
+      | ClaimReply | kills its receiver after it is handled |
+      | ClaimReply | cuts its link in both directions       |
+      | ClaimReply | cuts its link for replies              |
+      | ClaimReply | freezes its sender                     |
+      | ClaimReply | freezes its receiver                   |
+      | ClaimReply | isolates its receiver                  |
+      | Ticket     | is lost                                |
+      | Ticket     | is duplicated                          |
+      | Ticket     | is delayed                             |
+      | Ticket     | kills its sender before it is sent     |
+      | Ticket     | kills its sender after it is sent      |
+      | Ticket     | kills its receiver before it arrives   |
+      | Ticket     | kills its receiver after it is handled |
+      | Ticket     | cuts its link in both directions       |
+      | Ticket     | cuts its link for replies              |
+      | Ticket     | freezes its sender                     |
+      | Ticket     | freezes its receiver                   |
+      | Ticket     | isolates its receiver                  |
+      | Frames     | is lost                                |
+      | Frames     | is duplicated                          |
+      | Frames     | is delayed                             |
+      | Frames     | kills its sender before it is sent     |
+      | Frames     | kills its sender after it is sent      |
+      | Frames     | kills its receiver before it arrives   |
+      | Frames     | kills its receiver after it is handled |
+      | Frames     | cuts its link in both directions       |
+      | Frames     | cuts its link for replies              |
+      | Frames     | freezes its sender                     |
+      | Frames     | freezes its receiver                   |
+      | Frames     | isolates its receiver                  |
 
   Scenario Outline: Complete answers when <message> <fault>
     Given a system of 2 gateways, 2 agents and 3 controllers
@@ -139,55 +139,55 @@
     And the runners are idle 30 s later
 
     Examples:
-      | message | fault |
-      | Ticket | is lost |
-      | Ticket | comes twice |
-      | Ticket | comes late |
-      | Ticket | kills its sender before it leaves |
-      | Ticket | kills its sender after it left |
-      | Ticket | kills its receiver before it comes |
-      | Ticket | kills its receiver after it came |
-      | Ticket | meets a cut both ways |
-      | Ticket | meets a cut one way |
-      | Ticket | freezes its sender |
-      | Ticket | freezes its receiver |
-      | Ticket | cuts its receiver off |
-      | Frames | is lost |
-      | Frames | comes twice |
-      | Frames | comes late |
-      | Frames | kills its sender before it leaves |
-      | Frames | kills its sender after it left |
-      | Frames | kills its receiver before it comes |
-      | Frames | kills its receiver after it came |
-      | Frames | meets a cut both ways |
-      | Frames | meets a cut one way |
-      | Frames | freezes its sender |
-      | Frames | freezes its receiver |
-      | Frames | cuts its receiver off |
-      | Load | is lost |
-      | Load | comes twice |
-      | Load | comes late |
-      | Load | kills its sender before it leaves |
-      | Load | kills its sender after it left |
-      | Load | kills its receiver before it comes |
-      | Load | kills its receiver after it came |
-      | Load | meets a cut both ways |
-      | Load | meets a cut one way |
-      | Load | freezes its sender |
-      | Load | freezes its receiver |
-      | Load | cuts its receiver off |
-      | LastFrames | is lost |
-      | LastFrames | comes twice |
-      | LastFrames | comes late |
-      | LastFrames | kills its sender before it leaves |
-      | LastFrames | kills its sender after it left |
-      | LastFrames | kills its receiver before it comes |
-      | LastFrames | kills its receiver after it came |
-      | LastFrames | meets a cut both ways |
-      | LastFrames | meets a cut one way |
-      | LastFrames | freezes its sender |
-      | LastFrames | freezes its receiver |
-      | LastFrames | cuts its receiver off |
+      | message    | fault                                  |
+      | Ticket     | is lost                                |
+      | Ticket     | is duplicated                          |
+      | Ticket     | is delayed                             |
+      | Ticket     | kills its sender before it is sent     |
+      | Ticket     | kills its sender after it is sent      |
+      | Ticket     | kills its receiver before it arrives   |
+      | Ticket     | kills its receiver after it is handled |
+      | Ticket     | cuts its link in both directions       |
+      | Ticket     | cuts its link for replies              |
+      | Ticket     | freezes its sender                     |
+      | Ticket     | freezes its receiver                   |
+      | Ticket     | isolates its receiver                  |
+      | Frames     | is lost                                |
+      | Frames     | is duplicated                          |
+      | Frames     | is delayed                             |
+      | Frames     | kills its sender before it is sent     |
+      | Frames     | kills its sender after it is sent      |
+      | Frames     | kills its receiver before it arrives   |
+      | Frames     | kills its receiver after it is handled |
+      | Frames     | cuts its link in both directions       |
+      | Frames     | cuts its link for replies              |
+      | Frames     | freezes its sender                     |
+      | Frames     | freezes its receiver                   |
+      | Frames     | isolates its receiver                  |
+      | Load       | is lost                                |
+      | Load       | is duplicated                          |
+      | Load       | is delayed                             |
+      | Load       | kills its sender before it is sent     |
+      | Load       | kills its sender after it is sent      |
+      | Load       | kills its receiver before it arrives   |
+      | Load       | kills its receiver after it is handled |
+      | Load       | cuts its link in both directions       |
+      | Load       | cuts its link for replies              |
+      | Load       | freezes its sender                     |
+      | Load       | freezes its receiver                   |
+      | Load       | isolates its receiver                  |
+      | LastFrames | is lost                                |
+      | LastFrames | is duplicated                          |
+      | LastFrames | is delayed                             |
+      | LastFrames | kills its sender before it is sent     |
+      | LastFrames | kills its sender after it is sent      |
+      | LastFrames | kills its receiver before it arrives   |
+      | LastFrames | kills its receiver after it is handled |
+      | LastFrames | cuts its link in both directions       |
+      | LastFrames | cuts its link for replies              |
+      | LastFrames | freezes its sender                     |
+      | LastFrames | freezes its receiver                   |
+      | LastFrames | isolates its receiver                  |
 
   Scenario: An agent disconnected from the controllers completes its requests
     Given a system of 2 gateways, 2 agents and 3 controllers
--- a/features/worlds/system.py
+++ b/features/worlds/system.py
@@ -682,17 +682,17 @@
 
 ACTIONS = {
     'is lost': lose,
-    'comes twice': duplicate,
-    'comes late': delay,
-    'kills its sender before it leaves': kill_sender_before,
-    'kills its sender after it left': kill_sender_after,
-    'kills its receiver before it comes': kill_receiver_before,
-    'kills its receiver after it came': kill_receiver_after,
-    'meets a cut both ways': disconnect,
-    'meets a cut one way': cut_replies,
+    'is duplicated': duplicate,
+    'is delayed': delay,
+    'kills its sender before it is sent': kill_sender_before,
+    'kills its sender after it is sent': kill_sender_after,
+    'kills its receiver before it arrives': kill_receiver_before,
+    'kills its receiver after it is handled': kill_receiver_after,
+    'cuts its link in both directions': disconnect,
+    'cuts its link for replies': cut_replies,
     'freezes its sender': freeze_sender,
     'freezes its receiver': freeze_receiver,
-    'cuts its receiver off': isolate_receiver,
+    'isolates its receiver': isolate_receiver,
 }
 
 
