--- a/features/consensus.feature
+++ b/features/consensus.feature
@@ -10,35 +10,35 @@
     And a read confirmed by a quorum returns them
 
     Examples:
-      | count | fault                | moment                |
-      | 3     | a crash              | before the entry is sent |
-      | 3     | a crash              | after the entry is sent |
-      | 3     | a crash              | after a follower has the entry |
-      | 3     | a crash              | after the entry is acknowledged |
-      | 5     | a crash              | after the entry is sent |
-      | 5     | a crash              | after the entry is acknowledged |
-      | 3     | a restart            | before the entry is sent |
-      | 3     | a restart            | after the entry is sent |
-      | 3     | a restart            | after a follower has the entry |
-      | 3     | a restart            | after the entry is acknowledged |
-      | 3     | a pause              | before the entry is sent |
-      | 3     | a pause              | after the entry is sent |
-      | 3     | a pause              | after the entry is acknowledged |
-      | 5     | a pause              | after the entry is sent |
-      | 3     | a partition          | before the entry is sent |
-      | 3     | a partition          | after the entry is sent |
-      | 3     | a partition          | after the entry is acknowledged |
-      | 5     | a partition          | after the entry is sent |
-      | 3     | lost outgoing links  | after the entry is sent |
-      | 3     | lost incoming links  | after the entry is sent |
-      | 5     | lost incoming links  | after the entry is acknowledged |
-      | 3     | message loss         | before the entry is sent |
-      | 5     | message loss         | after the entry is sent |
-      | 3     | duplicated messages  | after the entry is sent |
-      | 5     | duplicated messages  | before the entry is sent |
-      | 3     | reordered messages   | after the entry is sent |
-      | 5     | reordered messages   | after the entry is acknowledged |
-      | 3     | a slow disk          | after the entry is sent |
+      | count | fault               | moment                          |
+      | 3     | a crash             | before the entry is sent        |
+      | 3     | a crash             | after the entry is sent         |
+      | 3     | a crash             | after a follower has the entry  |
+      | 3     | a crash             | after the entry is acknowledged |
+      | 5     | a crash             | after the entry is sent         |
+      | 5     | a crash             | after the entry is acknowledged |
+      | 3     | a restart           | before the entry is sent        |
+      | 3     | a restart           | after the entry is sent         |
+      | 3     | a restart           | after a follower has the entry  |
+      | 3     | a restart           | after the entry is acknowledged |
+      | 3     | a pause             | before the entry is sent        |
+      | 3     | a pause             | after the entry is sent         |
+      | 3     | a pause             | after the entry is acknowledged |
+      | 5     | a pause             | after the entry is sent         |
+      | 3     | a partition         | before the entry is sent        |
+      | 3     | a partition         | after the entry is sent         |
+      | 3     | a partition         | after the entry is acknowledged |
+      | 5     | a partition         | after the entry is sent         |
+      | 3     | lost outgoing links | after the entry is sent         |
+      | 3     | lost incoming links | after the entry is sent         |
+      | 5     | lost incoming links | after the entry is acknowledged |
+      | 3     | message loss        | before the entry is sent        |
+      | 5     | message loss        | after the entry is sent         |
+      | 3     | duplicated messages | after the entry is sent         |
+      | 5     | duplicated messages | before the entry is sent        |
+      | 3     | reordered messages  | after the entry is sent         |
+      | 5     | reordered messages  | after the entry is acknowledged |
+      | 3     | a slow disk         | after the entry is sent         |
 
   Scenario: A new leader does not step down before its first replies arrive
     Given 3 controllers
@@ -158,11 +158,11 @@
     Then it grants no vote before <event>
 
     Examples:
-      | event                                                             |
-      | the last leader has denied that it leads                          |
+      | event                                                              |
+      | the last leader has denied that it leads                           |
       | the last leader has denied it to this start, not to an earlier one |
-      | the election timeout, if its log ends in an earlier term          |
-      | all voters have denied it, if the leader's entry is compacted     |
+      | the election timeout, if its log ends in an earlier term           |
+      | all voters have denied it, if the leader's entry is compacted      |
 
   Scenario: A leader never denies that it leads
     Given 3 controllers
@@ -175,9 +175,9 @@
     Then the reply is <reply>
 
     Examples:
-      | identity                   | target | reply                     |
-      | its former identity        | c1.old | that it is not the leader |
-      | no other box's identity    | c2.old | none                      |
+      | identity                | target | reply                     |
+      | its former identity     | c1.old | that it is not the leader |
+      | no other box's identity | c2.old | none                      |
 
   Scenario: Random schedules of faults keep the log consistent
     Given 40 random schedules of faults over 3 and 5 controllers
--- a/features/losses.feature
+++ b/features/losses.feature
@@ -64,9 +64,9 @@
     Then a leader is elected within 0.08 s, in 30 of 30 runs
 
     Examples:
-      | first          | count |
-      | one of two     | 3     |
-      | one of four    | 5     |
+      | first       | count |
+      | one of two  | 3     |
+      | one of four | 5     |
 
   Scenario: The only voter that can be elected soon requests votes again
     Given 3 controllers with a leader
@@ -81,20 +81,20 @@
     And one voter changed at a time
 
     Examples: a replacement never places a majority in a hall, one swap at a time
-      | voters                   | learners         | unresponsive      | after                    | changes | least |
-      | north 2, south 2, west 1 | no hall          | none              | north 2, south 2, west 1 | 0       | 5     |
-      | north 2, south 2, west 1 | west 1           | none              | north 2, south 2, west 1 | 0       | 5     |
-      | north 2, south 2, west 1 | west 1           | north2            | north 1, south 2, west 2 | 2       | 5     |
-      | north 2, south 2, west 1 | north 1          | west1             | north 2, south 2, west 1 | 0       | 5     |
-      | north 2, south 2, west 1 | north 1, west 1  | south1 and south2 | north 2, south 1, west 2 | 2       | 5     |
-      | north 3, south 2         | west 1           | none              | north 2, south 2, west 1 | 2       | 5     |
-      | north 3, south 2         | west 1           | south1            | north 2, south 2, west 1 | 2       | 5     |
-      | north 3, south 2         | north 1          | none              | north 3, south 2         | 0       | 5     |
-      | north 4, south 1         | west 2           | none              | north 2, south 1, west 2 | 4       | 5     |
-      | north 3, south 2         | north 1          | north2            | north 3, south 2         | 2       | 5     |
-      | north 1, south 1, west 1 | south 1          | none              | north 1, south 1, west 1 | 0       | 3     |
-      | north 2, south 1         | west 1           | none              | north 1, south 1, west 1 | 2       | 3     |
-      | north 2, south 2         | north 1, west 1  | none              | north 2, south 2, west 1 | 1       | 4     |
+      | voters                   | learners        | unresponsive      | after                    | changes | least |
+      | north 2, south 2, west 1 | no hall         | none              | north 2, south 2, west 1 | 0       | 5     |
+      | north 2, south 2, west 1 | west 1          | none              | north 2, south 2, west 1 | 0       | 5     |
+      | north 2, south 2, west 1 | west 1          | north2            | north 1, south 2, west 2 | 2       | 5     |
+      | north 2, south 2, west 1 | north 1         | west1             | north 2, south 2, west 1 | 0       | 5     |
+      | north 2, south 2, west 1 | north 1, west 1 | south1 and south2 | north 2, south 1, west 2 | 2       | 5     |
+      | north 3, south 2         | west 1          | none              | north 2, south 2, west 1 | 2       | 5     |
+      | north 3, south 2         | west 1          | south1            | north 2, south 2, west 1 | 2       | 5     |
+      | north 3, south 2         | north 1         | none              | north 3, south 2         | 0       | 5     |
+      | north 4, south 1         | west 2          | none              | north 2, south 1, west 2 | 4       | 5     |
+      | north 3, south 2         | north 1         | north2            | north 3, south 2         | 2       | 5     |
+      | north 1, south 1, west 1 | south 1         | none              | north 1, south 1, west 1 | 0       | 3     |
+      | north 2, south 1         | west 1          | none              | north 1, south 1, west 1 | 2       | 3     |
+      | north 2, south 2         | north 1, west 1 | none              | north 2, south 2, west 1 | 1       | 4     |
 
   Scenario: Below the wanted number, an unresponsive voter is replaced in its own hall
     Given voters in north 1, south 1, west 1, and learners in west 1
@@ -143,17 +143,17 @@
     And 5 voters are placed so that any hall can be lost
 
     Examples:
-      | which                     | are | fault                      |
-      | the hall with the leader  | is  | killed                     |
-      | the hall with the leader  | is  | cut off                    |
-      | the hall with the leader  | is  | killed and wiped    |
-      | a hall without the leader | is  | killed                     |
-      | a hall without the leader | is  | cut off                    |
-      | a hall without the leader | is  | killed and wiped    |
-      | the leader and another    | are | killed                     |
-      | the leader and another    | are | killed and wiped    |
-      | two followers         | are | killed                     |
-      | two followers         | are | killed and wiped    |
+      | which                     | are | fault            |
+      | the hall with the leader  | is  | killed           |
+      | the hall with the leader  | is  | cut off          |
+      | the hall with the leader  | is  | killed and wiped |
+      | a hall without the leader | is  | killed           |
+      | a hall without the leader | is  | cut off          |
+      | a hall without the leader | is  | killed and wiped |
+      | the leader and another    | are | killed           |
+      | the leader and another    | are | killed and wiped |
+      | two followers             | are | killed           |
+      | two followers             | are | killed and wiped |
 
   Scenario: A box that starts while the first seed is lost finds the leader
     Given 5 voters in 3 halls
--- a/features/operations.feature
+++ b/features/operations.feature
@@ -52,13 +52,13 @@
     And at least 8 run concurrently for most of the time
 
     Examples:
-      | fault                                    |
-      | nothing fails                            |
-      | demand moves between gateways            |
-      | a gateway is killed and restarted        |
-      | a gateway is cut off from the controllers|
-      | the leader is killed                     |
-      | the leader is cut off from all others    |
+      | fault                                     |
+      | nothing fails                             |
+      | demand moves between gateways             |
+      | a gateway is killed and restarted         |
+      | a gateway is cut off from the controllers |
+      | the leader is killed                      |
+      | the leader is cut off from all others     |
 
   Scenario: A stalled runner is detected and excluded, then probed and used again
     Given a system of 2 gateways, 2 agents and 3 controllers
--- a/features/path.feature
+++ b/features/path.feature
@@ -22,11 +22,11 @@
     Given a system with 1 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
     Then these requests are refused
-      | team     | path                              | body        | status | code |
-      | nobody   | /v1/services/alarm-relay          | {}          | 401    | 1102 |
-      | dispatch | /v1/services/unheard-of           | {}          | 404    | 1103 |
-      | dispatch | /v1/chat/completions              | {broken     | 400    | 1100 |
-      | dispatch | /v1/chat/completions              | []          | 400    | 1100 |
-      | receipts | /v1/services/receipt-corrections  | {}          | 400    | 1104 |
+      | team     | path                             | body    | status | code |
+      | nobody   | /v1/services/alarm-relay         | {}      | 401    | 1102 |
+      | dispatch | /v1/services/unheard-of          | {}      | 404    | 1103 |
+      | dispatch | /v1/chat/completions             | {broken | 400    | 1100 |
+      | dispatch | /v1/chat/completions             | []      | 400    | 1100 |
+      | receipts | /v1/services/receipt-corrections | {}      | 400    | 1104 |
     And a body of 5000000 bytes is refused with code 1101
     And the system still serves requests
