--- a/features/entry.feature
+++ b/features/entry.feature
@@ -56,45 +56,45 @@
     And the group is not held at the end
 
     Examples:
-      | fault                                      | changes |
-      | followed at once                           | 8       |
-      | lost 3 in 10 times                         | 4       |
-      | unanswered and carried out 2 to 12 s later | 1       |
-      | followed while the leader changes each 3 s | 3       |
-      | late while the leader changes each 3 s     | 1       |
-      | late while the leader changes each 0.7 s   | 1       |
-
-  Scenario: Orders go out as soon as the last rank has reported
+      | fault                                         | changes |
+      | carried out at once                           | 8       |
+      | lost 3 in 10 times                            | 4       |
+      | unanswered and delayed by 2 to 12 s           | 1       |
+      | carried out while the leader changes each 3 s | 3       |
+      | delayed while the leader changes each 3 s     | 1       |
+      | delayed while the leader changes each 0.7 s   | 1       |
+
+  Scenario: Orders are sent as soon as the last rank has reported
     Given a group of 4 engines whose demand shifts each second
-    When sidecars and a leader change its maps for 40 s with orders followed at once
+    When sidecars and a leader change its maps for 40 s with orders carried out at once
     Then the median change took at most 0.35 s from its plan to its use
     And a change took at most 100 reports on average
 
-  Scenario: An order that is lost on its way comes with the answer to a report
+  Scenario: An order that is lost in transit is sent again in the reply to a report
     Given a group of 4 engines whose demand shifts each second
     When sidecars and a leader change its maps for 40 s with half of the pushes lost and sidecars that report each 0.5 s
     Then no pass was made with two maps
     And the maps were changed at least 30 times
     And the group was stalled for at most 0.3 s per change
 
-  Scenario: Orders that go unanswered hardly hold a group up
+  Scenario: Unanswered orders hardly stall a group
     Given a group of 4 engines whose demand shifts each second
-    When sidecars and a leader change its maps for 40 s with orders unanswered and carried out 2 to 12 s later
+    When sidecars and a leader change its maps for 40 s with orders unanswered and delayed by 2 to 12 s
     Then the group was stalled for at most 0.1 s per change
 
-  Scenario Outline: Whoever is lost right after a hold hardly holds a group up
+  Scenario Outline: A freeze right after a hold hardly stalls a group: <frozen>
     Given a group of 4 engines whose demand shifts each second
-    When sidecars and a leader change its maps for 40 s with <lost> of each hold frozen for 4 s
+    When sidecars and a leader change its maps for 40 s with <frozen> frozen for 4 s after each hold
     Then the group was stalled for at most <most> s in total
     And no pass was made with two maps
     And the maps were changed at least <changes> times
 
     Examples:
-      | lost                              | most | changes |
-      | the sidecar, no other box holding | 8    | 4       |
-      | the box                           | 1    | 20      |
+      | frozen                        | most | changes |
+      | the sidecar, and no other box | 8    | 4       |
+      | the box                       | 1    | 20      |
 
-  Scenario: A dead rank begins a new epoch, and the change under way is over
+  Scenario: The death of a rank begins a new epoch and ends the change in progress
     Given a group of 4 engines whose demand shifts each second
     When sidecars and a leader change its maps for 40 s with ranks dying each 5 s
     Then no pass was made with two maps
@@ -131,7 +131,7 @@
     When an entry is killed, its disk is emptied, and it restarts
     Then it is a voter within 15 s, with a new identity
 
-  Scenario: An unanswered call does not keep other calls from the leader
+  Scenario: An unanswered call does not delay other calls to the leader
     Given a leader, and an unresponsive controller that is called first
     When 12 calls begin 0.1 s apart
     Then each is answered within 0.6 s
@@ -158,7 +158,7 @@
       | 8       | 2     | 3.2      | 7.5   |
       | 4       | 1     | 1.6      | 3.5   |
 
-  Scenario: A leader that responds again is called again at once
+  Scenario: A leader that responds again gets the next call at once
     Given a leader that is unresponsive for 1 s, and two other controllers
     When calls continue meanwhile, and it sends a delayed reply after 1 s
     Then the next call is answered within 0.3 s
--- a/features/lives.feature
+++ b/features/lives.feature
@@ -1,5 +1,8 @@
 Feature: Incarnations of a runner, and messages that are ignored
 
+  A delayed message must not end, revive or move a runner that has restarted
+  since, and malformed ones must not change any state.
+
   # A message is ID ADDRESS START SEQUENCE [STATE], with start 0 for none; the
   # clock begins at 1000 s. A registration is ID ADDRESS START INCARNATION.
   Scenario Outline: <what>
@@ -67,7 +70,7 @@
     When the registry receives a X 0 1, a X 0 9, a X 0 4, a X 0 6 draining
     Then it has registered a X 0 1 with one leader for all messages
 
-  Scenario Outline: A <message> of an earlier incarnation that is committed late
+  Scenario Outline: A <message> of an earlier incarnation that is committed late is ignored
     Given a replicated state in which a runner has restarted
     When a <message> of its earlier incarnation is committed afterwards
     Then the new incarnation is still registered
@@ -77,7 +80,7 @@
       | heartbeat |
       | leave     |
 
-  Scenario: A leave of an earlier incarnation, proposed before any registration
+  Scenario: A leave of an earlier incarnation, proposed before any registration, is ignored
     Given a replicated state in which a runner has restarted
     When a leave with an earlier start, proposed on an empty state, is committed
     Then the new incarnation is still registered
@@ -103,7 +106,7 @@
       | slow     |
       | full     |
 
-  Scenario: Another runner at an address gets new connections
+  Scenario: Another runner that registers at an address gets new connections
     Given a gateway that knows a runner which was full
     When another runner registers at its address
     Then connections to its address are to be closed
@@ -207,9 +210,9 @@
       | the native form     |
       | the platform's form |
 
-  Scenario: Ranks that start again under their ids
+  Scenario: Ranks that restart under their ids never mix two maps in a pass
     Given a group of 4 engines whose demand shifts each second
-    When sidecars and a leader change its maps for 40 s with orders followed while ranks restart
+    When sidecars and a leader change its maps for 40 s with orders carried out while ranks restart
     Then no pass was made with two maps
     And the maps were changed at least 8 times
     And the group is not held at the end
@@ -229,7 +232,7 @@
     When it fails at the gateway, restarts and sends a heartbeat
     Then the gateway sends it requests at once
 
-  Scenario Outline: A runner sends "<sent>" about its idle connections
+  Scenario Outline: The reuse of idle connections follows what their runner sent: "<sent>"
     Given a runner on loopback, and a pool of connections to it
     When it sends that header, and another request follows after <idle_s> s
     Then <opened> connections have been opened
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -124,7 +124,9 @@
 def check_reconnects(context):
     attempts = 0
     while attempts < 3:
-        assert context.monitor.poll(GUARD_S * 1000), 'it waits for ever'
+        assert context.monitor.poll(
+            GUARD_S * 1000
+        ), 'no further connection attempt'
         event = monitor.recv_monitor_message(context.monitor)
         attempts += event['event'] == zmq.EVENT_CONNECT_DELAYED
 
@@ -178,7 +180,7 @@
 @given('an engine that {fault}')
 def faulty_engine(context, fault):
     async def execute(order):
-        raise FAULTS[fault]('as the scenario says')
+        raise FAULTS[fault]('fault of the scenario')
 
     context.engine = types.SimpleNamespace(execute=execute)
 
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -114,11 +114,11 @@
                 world.frozen_until_s[self.number] = now_s + FROZEN_S
             return
         if world.delaying:
-            world.nursery.start_soon(self._follow_delayed, order)
+            world.nursery.start_soon(self._execute_delayed, order)
         await trio.sleep(engines.ORDER_S)
         raise errors.OutcomeUnknown('no response')
 
-    async def _follow_delayed(self, order):
+    async def _execute_delayed(self, order):
         await trio.sleep(self.world.rng.uniform(2, 12))
         try:
             now_s = trio.current_time()
@@ -154,7 +154,7 @@
         #: Part of the orders to engines that are lost, or delayed.
         self.order_loss = 0.0
         #: Whether these orders are carried out later.
-        self.delaying = 'late' in faults
+        self.delaying = 'delayed' in faults
         if 'lost' in faults or self.delaying:
             self.order_loss = 0.3
         self.changing = 'leader changes' in faults
--- a/tools/mutants.py
+++ b/tools/mutants.py
@@ -556,12 +556,12 @@
     Mutant(
         'maps: no hold order through another box', 'groups',
         'if not self.send_remote_order(remote):', 'if True:', 'entry',
-        'Whoever is lost',
+        'A freeze right after a hold',
     ),
     Mutant(
         'maps: no substitute for an unresponsive sidecar', 'groups',
         'if rank in group.unresponsive:',
-        'if False:', 'entry', 'Whoever is lost',
+        'if False:', 'entry', 'A freeze right after a hold',
     ),
     Mutant(
         'maps: no epoch check on delayed reports', 'groups',
