--- a/features/halls.feature
+++ b/features/halls.feature
@@ -43,44 +43,44 @@
     And requests are sent to "south" again within 3 s of the second order
 
     Examples:
-      | what                                   |
-      | all processes lose power               |
-      | the leader loses its disk              |
-      | an entry is deaf for a lease           |
-      | its entry and its controllers are lost |
+      | what                                         |
+      | all processes lose power                     |
+      | the leader loses its disk                    |
+      | an entry is isolated for longer than a lease |
+      | its entry and its controllers are lost       |
 
-  Scenario: Orders on both sides of a cut
+  Scenario: The newest of the orders on both sides of a partition wins
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
-    When "south" is taken out on the leader's side of a cut, and out and put back on the other
-    Then it is in service at all entries 10 s after the cut has healed
+    When "south" is taken out on the leader's side of a partition, and out and put back on the other
+    Then it is in service at all entries 10 s after the partition has healed
 
-  Scenario: The hall that holds the leader is taken out
+  Scenario: The leader keeps leading when its hall is taken out
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
     When "north" is taken out, then nothing happens, and it is put back 12 s later
     Then no request is sent to "north" from 5 s after the first order until the second
     And the same controller leads
 
-  Scenario: Two halls are out
+  Scenario: Two halls are out of service, and requests go to the third
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
     When "north" and "south" are taken out
     Then from 5 s on all requests are sent to "east"
 
-  Scenario: All halls are out
+  Scenario: All halls are out of service, and requests are refused at once
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
     When "north" and "south" and "east" are taken out
     Then requests are refused within 0.01 s with code 1211 and a Retry-After header
 
-  Scenario: A request that waits for a runner obeys an order that comes meanwhile
+  Scenario: A waiting request is not sent to a hall that was taken out meanwhile
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
     When only "south" opens its groups, 0.3 s after it was taken out
     Then the request that waited is refused with code 1211
 
-  Scenario: A process that starts sends nothing before it has a view
+  Scenario: A process that has just started sends nothing before it has a view
     Given 3 entries, 3 controllers, and 2 runners in each of 3 halls
     When "south" is taken out and an entry starts cut off from the controllers
     Then its requests are refused with code 1207 until it has a view, and none is sent to "south"
 
-  Scenario Outline: A box is suspended while an order <at>, and newer orders are given
+  Scenario Outline: An order that <at> while its box is suspended undoes no newer one
     Given an entry's orders for halls
     When the box is suspended for 5 s while an order <at>
     Then in the end the order was <end>
@@ -90,7 +90,7 @@
       | waits for the hall's revision | not sent         |
       | is on its way to the leader   | refused with 503 |
 
-  Scenario: The caller disconnects before the order is read
+  Scenario: An order whose caller disconnects before it is read is not sent
     Given an entry's orders for halls
     When it reads an order whose caller has disconnected
     Then nothing is sent to the leader
@@ -100,7 +100,7 @@
     When another order is applied between its two calls
     Then it is applied on the newer revision
 
-  Scenario Outline: The name of a hall is <name>
+  Scenario Outline: An order is accepted or refused by the name of a hall: <name>
     Given an entry's orders for halls
     When the hall <name> is to be taken out and the settings name <known>
     Then the answer is <status> with code <code>
@@ -113,7 +113,7 @@
       | %2e/x | none         | 400    | 1100 |
       | -s    | none         | 400    | 1100 |
 
-  Scenario: Reloaded settings name a new hall
+  Scenario: Reloaded settings name a new hall, which then accepts orders
     Given an entry's orders for halls
     When the settings name south, and after a reload west too
     Then an order for west is accepted
@@ -142,7 +142,7 @@
       | 216   | 6     | 30   |
       | 288   | 20    | 36   |
 
-  Scenario: The state of halls in a snapshot, and a snapshot without halls
+  Scenario: A snapshot keeps the state of halls, and one without halls is restored
     Given a replicated state
     When runners are registered, and one hall is taken out and put back
     Then its runners are cold until they report otherwise, also after a snapshot
--- a/features/steps/halls_steps.py
+++ b/features/steps/halls_steps.py
@@ -254,7 +254,7 @@
     'nothing happens': _nothing,
     'all processes lose power': _lose_power,
     'the leader loses its disk': _lose_disk,
-    'an entry is deaf for a lease': _cut_off_entry,
+    'an entry is isolated for longer than a lease': _cut_off_entry,
     'its entry and its controllers are lost': _lose_hall,
 }
 
@@ -319,7 +319,7 @@
 
 
 @when(
-    '"{hall}" is taken out on the leader\'s side of a cut,'
+    '"{hall}" is taken out on the leader\'s side of a partition,'
     ' and out and put back on the other'
 )
 def order_on_both_sides(context, hall):
@@ -345,7 +345,7 @@
     _play(context, script)
 
 
-@then('it is in service at all entries 10 s after the cut has healed')
+@then('it is in service at all entries 10 s after the partition has healed')
 def check_in_service(context):
     assert not context.was_acknowledged
     check_orders(context, 5)
