--- a/features/rules.feature
+++ b/features/rules.feature
@@ -1,5 +1,7 @@
 Feature: Decision rules, each in isolation
 
+  Guards each rule against errors that the faults in other features hit rarely.
+
   Scenario Outline: A ticket <case> is refused
     Given an agent's ticket log with an accepted ticket
     Then a ticket <case> is refused with code 1205
@@ -68,12 +70,12 @@
   Scenario: A frame that is out of order is not accepted
     Then an attempt accepts frames only in order, each once
 
-  Scenario: Failing runners are ejected and probed again, a limited number at once
+  Scenario: Failing runners are ejected, a limited number at once, and probed again
     Given 4 runners known to a gateway
     Then 3 failures eject one for 2 s, then 4 s, and data ends the ejection
     And of 4 failing runners at most 2 are ejected
 
-  Scenario: Shares of a row over random gateways, grants and losses
+  Scenario: Shares of a row keep to its limit, over random gateways, grants and losses
     Then in 150 random histories no row is used above its limit
 
   Scenario Outline: Settings with <error> are refused with the path of the key
@@ -91,7 +93,7 @@
 
   Scenario: All errors of settings and of a sheet are reported at once
     Then settings with three errors give three lines
-    And a sheet with three errors gives three lines with row and column
+    And a sheet with four errors gives four lines with row and column
 
   Scenario Outline: Random <input> give a coded error or a valid value
     Then 200 random inputs of <input> give one or the other
--- a/features/steps/rule_steps.py
+++ b/features/steps/rule_steps.py
@@ -468,8 +468,8 @@
     assert len(_lines(settings_module.check, wrong)) == 3
 
 
-@then('a sheet with three errors gives three lines with row and column')
-def three_cells(context):
+@then('a sheet with four errors gives four lines with row and column')
+def four_cells(context):
     sheet = 'team,service,weight\na,b,-1\n,b,1\na b,c,x\n'
     lines = _lines(sheets.read_sheet, sheet)
     assert len(lines) == 4, lines
