--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -1,5 +1,8 @@
 Feature: Table changes take effect within seconds and never revert
 
+  A gateway or agent that applies an old table, or two at once, lets more
+  requests run than any one table allows.
+
   Scenario Outline: A put whose <message> <fault>
     Given a system of 2 gateways, 2 agents and 3 controllers
     When a new table is put while its <message> <fault>, and retried until answered
@@ -56,7 +59,7 @@
     Examples:
       | fault              |
       | killed             |
-      | cut off in silence |
+      | isolated           |
       | frozen             |
       | stopped as planned |
 
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -110,7 +110,7 @@
                 await trio.sleep(0.0005)
             if fault == 'killed':
                 world.kill(leader)
-            elif fault == 'cut off in silence':
+            elif fault == 'isolated':
                 world.isolate(leader)
             elif fault == 'frozen':
                 world.frozen_until_s[leader] = trio.current_time() + 6
