--- a/features/losses.feature
+++ b/features/losses.feature
@@ -1,5 +1,8 @@
 Feature: Loss of controllers, of whole halls and of two boxes
 
+  Writes stop while no leader is known, and for good if a majority of voters
+  is lost with one hall.
+
   Scenario: A delayed leader is waited for and gets the call once
     Given 3 controllers of which the last one leads and answers after 0.35 s
     And a process that knows the leader
@@ -125,10 +128,10 @@
     When boxes are replaced without tolerated hall losses
     Then the unresponsive voter is removed and then the first learner promoted
 
-  Scenario: A set of controllers written without halls
+  Scenario: A set of controllers that was written without halls is kept as it was
     Then a set of controllers without halls is read, and written unchanged
 
-  Scenario: A log written without halls
+  Scenario: A log written without halls is read, and voters are placed
     Given 5 voters in 3 halls
     When a leader has read a log without halls
     Then it soon knows the halls of all, and voters are placed in 3 of them
