--- a/features/maps.feature
+++ b/features/maps.feature
@@ -1,5 +1,8 @@
 Feature: Every step uses one expert map, and experts move only if it pays off
 
+  Ranks that use different maps in one step exchange the wrong data, and
+  moving experts costs time that a short-lived gain does not repay.
+
   Scenario Outline: All <ranks> ranks use one map per step while <fault>
     Given a group of <ranks> ranks in lock-step
     When maps are opened and adopted for 1500 ticks while <fault>
@@ -18,7 +21,7 @@
       | 64    | messages are delayed and reordered |
       | 64    | all faults occur together |
 
-  Scenario: Random schedules of all faults
+  Scenario: No step uses two maps over random schedules of all faults
     Given a group of 5 ranks in lock-step
     Then in 60 random schedules no step used two maps
 
--- a/features/path.feature
+++ b/features/path.feature
@@ -1,6 +1,8 @@
 Feature: Requests through a system of separate processes
 
-  Scenario: A streamed chat completion and a plain call
+  Runs real processes, to find faults that simulations of their parts miss.
+
+  Scenario: A streamed chat completion and a plain call are answered
     Given a system with 1 controller(s), 2 gateway(s) and 2 agent(s)
     And the sample table is in force
     When a caller requests the gateway addresses
--- a/features/processes.feature
+++ b/features/processes.feature
@@ -1,13 +1,15 @@
 Feature: Faults of processes and disks in a running system
 
-  Scenario: The leader is killed
+  Runs real processes on real disks, and kills, freezes and replaces them.
+
+  Scenario: A new leader accepts changes after the leader is killed
     Given a system with 3 controller(s), 2 gateway(s) and 2 agent(s)
     And the sample table is in force
     When the leading controller is killed
     Then a new table can be put and is in force
     And the system still serves requests
 
-  Scenario: The leader is frozen and resumes after it was replaced
+  Scenario: A leader that resumes after it was replaced reverts no change
     Given a system with 3 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
     When the leading controller is frozen
@@ -16,7 +18,7 @@
     Then the table is still the new one, at each controller
     And the system still serves requests
 
-  Scenario: A disk is lost, the box is replaced, and another box is lost
+  Scenario: A second box may be lost once the first is replaced
     Given a system with 3 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
     When a follower's disk is lost and the operator replaces it
@@ -32,14 +34,14 @@
     And that controller is running, has logged code 1702 and stored no new entry
     And it stores new entries after a restart with free disk space
 
-  Scenario: An agent is killed in the middle of a response
+  Scenario: A response whose agent is killed does not look complete
     Given a system with 1 controller(s), 1 gateway(s) and 2 agent(s)
     And the sample table is in force
     When an agent is killed in the middle of a streamed response
     Then the caller's connection breaks before the end of the stream
     And the system still serves requests
 
-  Scenario: Chat completions through the openai client library
+  Scenario: The openai client library receives chat completions and errors
     Given a system with 1 controller(s), 1 gateway(s) and 1 agent(s)
     And the sample table is in force
     When the openai client requests a chat completion, streamed and not
