--- a/features/consensus.feature
+++ b/features/consensus.feature
@@ -1,5 +1,8 @@
 Feature: A replicated log on three or five controllers, under faults
 
+  A change that was acknowledged must survive any fault that a majority of
+  controllers survives, and no two leaders may act at the same time.
+
   Scenario Outline: <count> controllers recover from <fault> <moment>
     Given <count> controllers
     When commands are committed
--- a/features/demand.feature
+++ b/features/demand.feature
@@ -1,5 +1,8 @@
 Feature: Demand estimates discard counts from before a shift
 
+  Counts from before a shift hide the present demand, and plans made from them
+  place experts where they are no longer needed.
+
   Scenario: A shift is detected within two windows and the mean starts over
     Given selection counts of 96 experts, reported every 0.12 s by 12 ranks
     When demand is constant for 4 s and then shifts
--- a/features/forwarding.feature
+++ b/features/forwarding.feature
@@ -1,5 +1,8 @@
 Feature: Complete answers, correct errors and resumed streams despite runner faults
 
+  A repeated unsafe request, or a truncated answer that looks complete, is
+  worse for a caller than an error.
+
   Scenario Outline: A <kind> request whose first runner <fault>
     Given two runners of which the first <fault>
     When a <kind> request is sent
--- a/features/mapplans.feature
+++ b/features/mapplans.feature
@@ -1,5 +1,8 @@
 Feature: Expert maps that account for slow ranks
 
+  All ranks of a group wait for the slowest one, so one slow rank slows the
+  whole group until it holds fewer experts.
+
   Scenario Outline: A rank that is <times> times slower is relieved in one change
     Given a group of 16 ranks with 64 experts in 4 sets, 5 slots and 2 new per change
     And rank 3 takes <times> times its usual time
--- a/features/operations.feature
+++ b/features/operations.feature
@@ -1,5 +1,8 @@
 Feature: Draining, planned stops, priorities, fair shares and limits
 
+  Planned stops must not interrupt requests, and an overload by one team or
+  kind of request must not starve the others.
+
   Scenario Outline: A planned stop of <what> interrupts no request
     Given a system of 2 gateways, 2 agents and 3 controllers
     When callers send requests continuously and <what> begins a planned stop at 3 s
--- a/features/placement.feature
+++ b/features/placement.feature
@@ -1,5 +1,8 @@
 Feature: How each gateway selects runners from what it knows
 
+  Gateways that decide alike from the same delayed reports overload one runner
+  while others are idle.
+
   Scenario Outline: Gateways with the same reports do not all send to one runner
     Given <gateways> gateways and 16 runners of 6 slots
     And <free> of the runners have 2 requests and the others have 3
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -1,5 +1,8 @@
 Feature: Quarantine of requests that crash their runners
 
+  A request that crashes each runner it reaches would take down all of them
+  by its retries.
+
   Scenario Outline: A crashing request is repeated at all gateways, while <case>
     Given 6 runners of <kind>
     When a crashing request is sent every 1 s to another gateway for 20 s, while <case>
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,5 +1,7 @@
 Feature: The soak test passes, and detects broken rules
 
+  A checker that overlooks a broken rule would let a faulty release pass.
+
   Scenario: A seed always gives the same plan, and different seeds different plans
     Then seed 1 gives the same plan twice, and seed 2 a different one
 
--- a/features/storage.feature
+++ b/features/storage.feature
@@ -1,5 +1,8 @@
 Feature: A controller's data folder
 
+  Acknowledged entries must survive crashes, full disks and damage, or the
+  folder must be refused.
+
   Scenario Outline: A journal that a crash truncates <where> opens
     Given a data folder with 5 synced frames
     When the journal is truncated <where>
