--- a/features/suspension.feature
+++ b/features/suspension.feature
@@ -1,5 +1,8 @@
 Feature: Leases, time-outs and backoffs include the time of a suspension
 
+  A monotonic clock can stand still during a suspension. A lease measured by
+  it would still look valid after another process has one.
+
   Scenario: No module uses a clock that excludes suspensions
     Then only the clocks and the log read a system clock
 
