--- a/features/steps/map_steps.py
+++ b/features/steps/map_steps.py
@@ -19,9 +19,9 @@
     """Inject faults, each with its own period in ticks."""
     is_all = 'all' in fault
     if 'lost' in fault or is_all:
-        world.lossy = 0.3
+        world.loss_rate = 0.3
     if 'delayed' in fault or is_all:
-        world.late = 0.3
+        world.delay_rate = 0.3
     rank = tick % len(world.gates)
     if ('crashes' in fault or is_all) and tick % 23 == 0:
         world.dead.add(rank)
@@ -105,11 +105,11 @@
     elif action == 'fail over':
         world.fail_over()
     elif action == 'delay':
-        world.late = 0.4
+        world.delay_rate = 0.4
     elif action == 'lose':
-        world.lossy = 0.4
+        world.loss_rate = 0.4
     elif action == 'clear':
-        world.late = world.lossy = 0.0
+        world.delay_rate = world.loss_rate = 0.0
 
 
 PREFER_LOW_SKEW = maps.Weights(4.0, 1.0, 0.08)
--- a/features/worlds/group.py
+++ b/features/worlds/group.py
@@ -29,7 +29,7 @@
         self.waiting_since = None
         self.inbox = []  # (due, number, rank, gate, fence, state)
         self.now = 0
-        self.lossy = self.late = 0.0
+        self.loss_rate = self.delay_rate = 0.0
         self.dead = set()
         self.frozen = set()
         self.sent = 0
@@ -69,7 +69,7 @@
             self.steps[rank] += 1
 
     def loses_message(self):
-        return self.rng.random() < self.lossy
+        return self.rng.random() < self.loss_rate
 
     def fence(self):
         return messages.Fence(self.term, len(self.log))
@@ -87,7 +87,7 @@
             if self.loses_message():
                 continue
             delay = self.rng.randrange(1, 3)
-            if self.rng.random() < self.late:
+            if self.rng.random() < self.delay_rate:
                 delay += self.rng.randrange(0, 40)
             self.sent += 1
             self.inbox.append(
