--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -188,13 +188,13 @@
             self.nursery.start_soon(self._sidecar, number)
         self.nursery.start_soon(self._passes)
         self.nursery.start_soon(self._shift)
-        self.nursery.start_soon(self._stand_in)
+        self.nursery.start_soon(self._send_remote_orders)
         if self.changing:
             self.nursery.start_soon(self._change_leaders)
         if self.dying or self.restarting:
             self.nursery.start_soon(self._kill_ranks)
 
-    async def _stand_in(self):
+    async def _send_remote_orders(self):
         """Call engines with unresponsive sidecars for the current leader."""
         app = types.SimpleNamespace(
             now_s=trio.current_time,
@@ -202,11 +202,11 @@
         )
         while True:
             leader = self.leader
-            stand_in = remoteranks.RemoteRanks(
+            remote_ranks = remoteranks.RemoteRanks(
                 app, leader.groups, self.remote_engine
             )
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(stand_in.run)
+                nursery.start_soon(remote_ranks.run)
                 while self.leader is leader:
                     await trio.sleep(remoteranks.CHECK_S)
                 nursery.cancel_scope.cancel()
