--- a/features/steps/lives_steps.py
+++ b/features/steps/lives_steps.py
@@ -60,9 +60,9 @@
         world.wait(float(rest[0]))
     elif first == 'leave':
         numbers = [n for n in rest[1:] if not n.startswith('#')]
-        lives = [int(n[1:]) for n in rest[1:] if n.startswith('#')]
+        incarnations = [int(n[1:]) for n in rest[1:] if n.startswith('#')]
         born_ms = int(numbers[0]) * 1000 if numbers else 0
-        world.leave(rest[0], born_ms, lives[0] if lives else 0)
+        world.leave(rest[0], born_ms, incarnations[0] if incarnations else 0)
     else:
         state = rest[3] if len(rest) > 3 else instances.READY
         letter, born_s, seq = rest[0], int(rest[1]), int(rest[2])
--- a/features/steps/manyranks_steps.py
+++ b/features/steps/manyranks_steps.py
@@ -126,7 +126,7 @@
 @when('it receives an order to prepare a map packed against map {base:d}')
 def push_with_base(context, base):
     # As after a report: no change to report.
-    context.sidecar._reported = 'told'
+    context.sidecar._reported = 'reported'
     _push(context, mapdeltas.pack(context.known, base, context.known))
 
 
