--- a/features/steps/consensus_steps.py
+++ b/features/steps/consensus_steps.py
@@ -486,9 +486,9 @@
 
 
 ACTIONS = (
-    'offer', 'offer', 'offer', 'read', 'kill', 'start', 'pause', 'thaw',
-    'cut', 'cut one way', 'heal', 'drop', 'reorder', 'calm', 'compact',
-    'hand over', 'wait',
+    'propose', 'propose', 'propose', 'read', 'kill', 'start', 'pause',
+    'resume', 'isolate', 'isolate one way', 'heal', 'drop', 'reorder',
+    'end message faults', 'compact', 'transfer leadership', 'wait',
 )  # fmt: skip
 
 
@@ -496,7 +496,7 @@
     names = sorted(world.disks)
     name = names[pick % len(names)]
     leader = world.leader()
-    if action == 'offer' and leader:
+    if action == 'propose' and leader:
         world.propose(leader, b'%d' % number)
     elif action == 'read' and leader:
         world.read(leader)
@@ -506,11 +506,11 @@
         world.start(name)
     elif action == 'pause' and name in world.nodes:
         world.paused.add(name)
-    elif action == 'thaw':
+    elif action == 'resume':
         world.paused.clear()
-    elif action == 'cut':
+    elif action == 'isolate':
         world.isolate(name)
-    elif action == 'cut one way':
+    elif action == 'isolate one way':
         world.isolate(name, both=False)
     elif action == 'heal':
         world.cut.clear()
@@ -518,11 +518,11 @@
         world.drop, world.duplicate = 0.2, 0.2
     elif action == 'reorder':
         world.reorder = 0.5
-    elif action == 'calm':
+    elif action == 'end message faults':
         world.drop = world.duplicate = world.reorder = 0.0
     elif action == 'compact' and leader:
         world.compact(leader, keep=pick)
-    elif action == 'hand over' and leader:
+    elif action == 'transfer leadership' and leader:
         try:
             world.step(leader, consensus.TransferLeadership(''))
         except errors.MountridgeError:
@@ -536,7 +536,7 @@
         _run_action(world, action, pick, number)
         world.run(wait_s)
         world.check()
-    _run_action(world, 'calm', 0, 0)
+    _run_action(world, 'end message faults', 0, 0)
     world.cut.clear()
     world.paused.clear()
     for name in world.disks:
