--- a/features/worlds/rests.py
+++ b/features/worlds/rests.py
@@ -119,13 +119,13 @@
 class World:
     """Some gateways, and the runners of one service."""
 
-    def __init__(self, gateways: int, runners: int, tries: int = 2):
+    def __init__(self, gateways: int, runners: int, attempts: int = 2):
         #: For how long the machine was suspended while timers stood still.
         self.suspended_s = 0.0
         self.runners: dict[str, Runner] = {}
         for number in range(runners):
             self.put_runner(Runner(number))
-        self.index = _index(tries)
+        self.index = _index(attempts)
         self.gateways = {f'g{n}': self._gateway(f'g{n}', gateways)
                          for n in range(gateways)}  # fmt: skip
         self.is_open = True
@@ -227,10 +227,10 @@
         return [each.status for each in self.answers if each.status != 200]
 
 
-def _index(tries: int) -> routes.Index:
+def _index(attempts: int) -> routes.Index:
     route = routes.Route(
         'r', 'a.example', '/', routes.SAFE, 3000.0, 100.0, 1,
-        [routes.Share('s', 1.0)], tries, True, False, 0.0,
+        [routes.Share('s', 1.0)], attempts, True, False, 0.0,
     )  # fmt: skip
     engine = routes.Engine(SLOTS, 1000, experts=8)
     services = [routes.Service('s', '/h', 8, engine)]
