--- a/features/rests.feature
+++ b/features/rests.feature
@@ -3,7 +3,7 @@
   A runner that refuses all requests has none running, so its reports make it
   the least loaded one. Without the backoff, requests keep being sent to it.
 
-  Scenario: Some ranks of a group refuse all requests and request a backoff
+  Scenario: Ranks that request a backoff get hardly any requests during it
     Given 3 gateways and 16 ranks of one group
     When 40 requests a second arrive for 14 s, and 5 ranks request a backoff of 3 s from 2 to 11 s
     Then no gateway has sent more than 2 requests during a backoff
@@ -19,7 +19,7 @@
     When a rank requests a backoff of 30 s and restarts after 1 s
     Then its new incarnation gets the next request
 
-  Scenario: A runner announces in its responses that it leaves
+  Scenario: A runner that announces its departure gets no further requests
     Given 2 gateways and 3 ranks of one group
     When 20 requests a second arrive for 9 s, and a rank announces it from 2 s on
     Then no gateway has sent it any request later than 0.5 s after that
@@ -52,7 +52,7 @@
     When it repeatedly requests a backoff of 2 s, with a latency of 0.8 s
     Then no gateway has sent more than 2 requests during a backoff
 
-  Scenario Outline: Where a retry goes <ago_s> s after a runner's backoff
+  Scenario Outline: A retry <ago_s> s after a runner's backoff goes to the <which> runner
     Given a gateway that knows a runner that has backed off, a busy and an idle one
     When a fourth runner has refused a request, <ago_s> s after that
     Then it goes to the <which> one
@@ -97,20 +97,20 @@
     When 5000 incarnations of runners request a backoff
     Then the backoffs of 2000 are kept, with the latest
 
-  Scenario: An agent's runner refuses all requests and requests a backoff
+  Scenario: An agent's runner that requests a backoff gets hardly any calls during it
     Given a system of 1 gateways, 2 agents and 3 controllers
     When one runner requests a backoff of 3 s for 7 s, while 10 calls a second arrive
     Then that runner gets at most 2 requests during a backoff
     And all calls have been answered completely
     And that runner has run some after it accepts requests again
 
-  Scenario: A call that is claimed where its agent's runner requests a backoff
+  Scenario: A call that is claimed where its agent's runner requests a backoff runs once
     Given a system of 1 gateways, 2 agents and 3 controllers
     When one runner requests a backoff of 3 s for 4 s, and 20 calls with keys arrive
     Then all calls have been answered completely
     And each of them has run once
 
-  Scenario: An agent's runner announces that it leaves
+  Scenario: An agent's runner that announces its departure gets no further calls
     Given a system of 1 gateways, 2 agents and 3 controllers
     When one runner announces that it leaves, while 10 calls a second arrive for 9 s
     Then that runner gets nothing later than 0.5 s after that
