--- a/features/closedgroups.feature
+++ b/features/closedgroups.feature
@@ -64,7 +64,7 @@
     Then other requests have to wait for its outcome
     And they need not wait once a report has arrived
 
-  Scenario Outline: Requests during a start of <what>
+  Scenario Outline: Requests during a start of <what> are all served
     Given 15 gateways with an <view> view of 13 ranks
     When callers send requests and the group opens <opens_s> s later
     Then all requests are served, none with a third attempt
--- a/features/forwarding.feature
+++ b/features/forwarding.feature
@@ -50,7 +50,7 @@
     Then its answer is 200 and complete
     And the runners ran it 1 times
 
-  Scenario Outline: A request that arrives before any runner has registered
+  Scenario Outline: A request that arrives before any runner has registered waits a limited time
     Given two runners of which the first answers correctly
     When a <kind> request is sent <early> s before they register
     Then its answer is <answer>
@@ -60,7 +60,7 @@
       | unsafe | 0.5   | 200 and complete |
       | unsafe | 2.0   | 503              |
 
-  Scenario Outline: A stream whose runner becomes <slowdown> times slower
+  Scenario Outline: A stream moves only if its runner becomes much slower: <slowdown> times
     Given two runners of which the first pauses after 2 events
     When a streaming request is sent and that runner slows down <slowdown> times
     Then its answer is 200 and complete
@@ -77,7 +77,7 @@
     Then its answer is 503
     And the runners ran it 0 times
 
-  Scenario Outline: A request to a process that has no routes yet
+  Scenario Outline: A request to a process that has no routes yet waits a limited time
     Given two runners of which the first answers correctly
     When a safe request arrives <before_s> s before the first routes
     Then its answer is <answer>
@@ -93,7 +93,7 @@
     Then its answer is 200 and complete
     And the runners ran it 1 times
 
-  Scenario Outline: A request to a group that has been closed for <closed_s> s
+  Scenario Outline: A request to a group that has been closed for <closed_s> s is refused
     Given two ranks of a closed group
     When a streaming request is sent after <closed_s> s of reports that it is closed
     Then its answer is 503
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -60,7 +60,7 @@
     When a request is quarantined for other crashes, and is sent 62 s later
     Then it is served, and no entry of it remains
 
-  Scenario Outline: Retries on a group while a request is quarantined
+  Scenario Outline: A request that crashed a rank is retried only if it had returned events
     Given a rank that crashed while running a request that had returned <events> events
     Then it <may> be retried
 
--- a/features/warmup.feature
+++ b/features/warmup.feature
@@ -93,7 +93,7 @@
     When 40 requests arrive, one each 2 s
     Then all go to the second runner
 
-  Scenario Outline: Quotas where views lack <who>
+  Scenario Outline: Quotas keep to the limit where views lack <who>
     Given a cold runner sustains 14 requests a second, limit 1.5 times that plus 5
     And 39 gateways in 3 halls that <know>
     When each gets a view without <who>, and <after_s> s later sends all it can
@@ -104,7 +104,7 @@
       | know all others   | all others        | 2       | 13   |
       | have just started | others of hall h0 | 2       | 26   |
 
-  Scenario: New routes raise the limit while requests are sent
+  Scenario: A gateway keeps to its quota while new routes raise the limit
     Given a gateway that sends as much as it may to a runner that it owns
     When routes set a limit of 4, and 2 s later of 40 requests a second
     Then it sends no more than its quota in any window
