--- a/features/entry.feature
+++ b/features/entry.feature
@@ -1,5 +1,8 @@
 Feature: Routes, registration of runners, expert maps and calls to the leader
 
+  A request must not be routed by an invalid document or to a runner that has
+  left, and no two ranks of a group may use different maps in one pass.
+
   Scenario Outline: The route with the longest matching prefix is selected
     Given routes for a.example at / and /x/ and /x/y/
     Then a request for <host> with the path <path> matches the route <route>
@@ -26,12 +29,12 @@
       | text is truncated                |
 
   Scenario: The highest version of the routes stays in force
-    Given a replicated state
+    Given an empty replicated state
     When routes of the versions 3, 7, 5, 7 and 6 are put in this order
     Then version 7 with its first content is in force, also after a snapshot
 
   Scenario: A runner that left is never registered again, and its address may be reused
-    Given a replicated state
+    Given an empty replicated state
     When a runner registers, leaves, and its delayed heartbeat is received
     Then it has left
     When another runner registers at the address of a live one
@@ -51,9 +54,9 @@
   Scenario Outline: One map in every pass, with orders that are <fault>
     Given a group of 4 engines whose demand shifts each second
     When sidecars and a leader change its maps for 40 s with orders <fault>
-    Then no pass was made with two maps
+    Then no forward pass used two maps
     And the maps were changed at least <changes> times
-    And the group is not held at the end
+    And no rank is held at the end
 
     Examples:
       | fault                                         | changes |
@@ -73,7 +76,7 @@
   Scenario: An order that is lost in transit is sent again in the reply to a report
     Given a group of 4 engines whose demand shifts each second
     When sidecars and a leader change its maps for 40 s with half of the pushes lost and sidecars that report each 0.5 s
-    Then no pass was made with two maps
+    Then no forward pass used two maps
     And the maps were changed at least 30 times
     And the group was stalled for at most 0.3 s per change
 
@@ -86,7 +89,7 @@
     Given a group of 4 engines whose demand shifts each second
     When sidecars and a leader change its maps for 40 s with <frozen> frozen for 4 s after each hold
     Then the group was stalled for at most <most> s in total
-    And no pass was made with two maps
+    And no forward pass used two maps
     And the maps were changed at least <changes> times
 
     Examples:
@@ -96,9 +99,9 @@
 
   Scenario: The death of a rank begins a new epoch and ends the change in progress
     Given a group of 4 engines whose demand shifts each second
-    When sidecars and a leader change its maps for 40 s with ranks dying each 5 s
-    Then no pass was made with two maps
-    And the group is not held at the end
+    When sidecars and a leader change its maps for 40 s with ranks failing every 5 s
+    Then no forward pass used two maps
+    And no rank is held at the end
 
   Scenario Outline: The retry budget applies across all gateways
     Given <gateways> gateways that share a retry budget of 0.2 and 96 in 10 s
@@ -149,7 +152,7 @@
 
   Scenario Outline: A planned stop leaves time to complete accepted requests
     Given an entry with a grace period of <grace_s> s and an address TTL of <ttl_s> s
-    When it is stopped while a request never ends
+    When it begins a planned stop while a request never ends
     Then it accepts new requests for <accept_s> s and ends after <end_s> s
 
     Examples:
@@ -166,7 +169,7 @@
   Scenario: A connection whose SYN packet is dropped is retried
     Given an address with a full accept queue
     When a process connects to it
-    Then it retries without waiting for the kernel
+    Then it retries without waiting for the kernel's retransmission
 
   Scenario: The platform's names are used only in its folder
     Then nothing outside the folder platform names its headers or calls
--- a/features/halls.feature
+++ b/features/halls.feature
@@ -143,12 +143,12 @@
       | 288   | 20    | 36   |
 
   Scenario: A snapshot keeps the state of halls, and one without halls is restored
-    Given a replicated state
+    Given an empty replicated state
     When runners are registered, and one hall is taken out and put back
     Then its runners are cold until they report otherwise, also after a snapshot
     And a snapshot without halls is restored with none out of service
 
   Scenario: A deposed controller returns no halls
-    Given a replicated state
+    Given an empty replicated state
     When a replica that no quorum confirms as the leader is asked for its halls
     Then it returns no halls
--- a/features/lives.feature
+++ b/features/lives.feature
@@ -213,9 +213,9 @@
   Scenario: Ranks that restart under their ids never mix two maps in a pass
     Given a group of 4 engines whose demand shifts each second
     When sidecars and a leader change its maps for 40 s with orders carried out while ranks restart
-    Then no pass was made with two maps
+    Then no forward pass used two maps
     And the maps were changed at least 8 times
-    And the group is not held at the end
+    And no rank is held at the end
 
   Scenario: Counters that were reset are not counted as selections
     Given a sidecar whose engine has counted 5 and 7 selections
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -97,7 +97,7 @@
         raise AssertionError('the document was accepted')
 
 
-@given('a replicated state')
+@given('an empty replicated state')
 def replicated_state(context):
     context.machine = statemachine.StateMachine()
     context.log_index = 0
@@ -192,7 +192,7 @@
     context.world = ranks_world.play(span_s, faults, context.name)
 
 
-@then('no pass was made with two maps')
+@then('no forward pass used two maps')
 def check_maps_not_mixed(context):
     assert context.world.group.step > 100, context.world.group.step
     assert context.world.group.mixed_passes == 0
@@ -215,7 +215,7 @@
     assert context.world.changes >= count, context.world.changes
 
 
-@then('the group is not held at the end')
+@then('no rank is held at the end')
 def check_not_held(context):
     held = [rank.held_step for rank in context.world.group.ranks]
     assert set(held) == {-1}, held
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -120,7 +120,7 @@
     context.monitor = context.channel.socket.get_monitor_socket()
 
 
-@then('it retries without waiting for the kernel')
+@then("it retries without waiting for the kernel's retransmission")
 def check_reconnects(context):
     attempts = 0
     while attempts < 3:
@@ -147,7 +147,7 @@
     )
 
 
-@when('it is stopped while a request never ends')
+@when('it begins a planned stop while a request never ends')
 def stop_entry(context):
     async def main():
         drained = context.entry
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -159,7 +159,7 @@
             self.order_loss = 0.3
         self.changing = 'leader changes' in faults
         self.term_s = 0.7 if 'each 0.7 s' in faults else 3.0
-        self.dying = 'dying' in faults
+        self.failing = 'failing' in faults
         #: Whether ranks restart under their ids and report their start times.
         self.restarting = 'restart' in faults
         #: False at the end, so that the last change finishes and no pass is
@@ -191,8 +191,8 @@
         self.nursery.start_soon(self._send_remote_orders)
         if self.changing:
             self.nursery.start_soon(self._change_leaders)
-        if self.dying or self.restarting:
-            self.nursery.start_soon(self._kill_ranks)
+        if self.failing or self.restarting:
+            self.nursery.start_soon(self._restart_ranks)
 
     async def _send_remote_orders(self):
         """Call engines with unresponsive sidecars for the current leader."""
@@ -263,7 +263,7 @@
             self.term += 1
             self.leader = Leader(self)
 
-    async def _kill_ranks(self):
+    async def _restart_ranks(self):
         while True:
             await trio.sleep(5 + self.rng.random())
             now_s = trio.current_time()
