--- a/features/entry.feature
+++ b/features/entry.feature
@@ -52,41 +52,41 @@
       | draining | ready    | 6 | ready    |
 
   Scenario Outline: One map in every pass, with orders that are <fault>
-    Given a group of 4 engines whose demand shifts each second
+    Given a group of 4 engines whose demand shifts every second
     When sidecars and a leader change its maps for 40 s with orders <fault>
     Then no forward pass used two maps
     And the maps were changed at least <changes> times
     And no rank is held at the end
 
     Examples:
-      | fault                                         | changes |
-      | carried out at once                           | 8       |
-      | lost 3 in 10 times                            | 4       |
-      | unanswered and delayed by 2 to 12 s           | 1       |
-      | carried out while the leader changes each 3 s | 3       |
-      | delayed while the leader changes each 3 s     | 1       |
-      | delayed while the leader changes each 0.7 s   | 1       |
+      | fault                                          | changes |
+      | carried out at once                            | 8       |
+      | lost 3 in 10 times                             | 4       |
+      | unanswered and delayed by 2 to 12 s            | 1       |
+      | carried out while the leader changes every 3 s | 3       |
+      | delayed while the leader changes every 3 s     | 1       |
+      | delayed while the leader changes every 0.7 s   | 1       |
 
   Scenario: Orders are sent as soon as the last rank has reported
-    Given a group of 4 engines whose demand shifts each second
+    Given a group of 4 engines whose demand shifts every second
     When sidecars and a leader change its maps for 40 s with orders carried out at once
     Then the median change took at most 0.35 s from its plan to its use
     And a change took at most 100 reports on average
 
   Scenario: An order that is lost in transit is sent again in the reply to a report
-    Given a group of 4 engines whose demand shifts each second
-    When sidecars and a leader change its maps for 40 s with half of the pushes lost and sidecars that report each 0.5 s
+    Given a group of 4 engines whose demand shifts every second
+    When sidecars and a leader change its maps for 40 s with half of the pushes lost and sidecars that report every 0.5 s
     Then no forward pass used two maps
     And the maps were changed at least 30 times
     And the group was stalled for at most 0.3 s per change
 
   Scenario: Unanswered orders hardly stall a group
-    Given a group of 4 engines whose demand shifts each second
+    Given a group of 4 engines whose demand shifts every second
     When sidecars and a leader change its maps for 40 s with orders unanswered and delayed by 2 to 12 s
     Then the group was stalled for at most 0.1 s per change
 
   Scenario Outline: A freeze right after a hold hardly stalls a group: <frozen>
-    Given a group of 4 engines whose demand shifts each second
+    Given a group of 4 engines whose demand shifts every second
     When sidecars and a leader change its maps for 40 s with <frozen> frozen for 4 s after each hold
     Then the group was stalled for at most <most> s in total
     And no forward pass used two maps
@@ -98,7 +98,7 @@
       | the box                       | 1    | 20      |
 
   Scenario: The death of a rank begins a new epoch and ends the change in progress
-    Given a group of 4 engines whose demand shifts each second
+    Given a group of 4 engines whose demand shifts every second
     When sidecars and a leader change its maps for 40 s with ranks failing every 5 s
     Then no forward pass used two maps
     And no rank is held at the end
--- a/features/halls.feature
+++ b/features/halls.feature
@@ -132,7 +132,7 @@
 
   Scenario Outline: A hall that was put back is ramped up, with <per_s> requests a second
     Given 39 gateways in 3 halls and 72 runners of 5 slots
-    And runners report each 0.2 s and the leader forwards reports each 0.0975 s
+    And runners report every 0.2 s and the leader forwards reports every 0.0975 s
     When hall "h0" is out of service until 8 s, with <per_s> requests a second that take 0.75 s
     Then its runners get at most <first> requests in the first 0.25 s, and <most> in each 0.25 s
 
--- a/features/lives.feature
+++ b/features/lives.feature
@@ -211,7 +211,7 @@
       | the platform's form |
 
   Scenario: Ranks that restart under their ids never mix two maps in a pass
-    Given a group of 4 engines whose demand shifts each second
+    Given a group of 4 engines whose demand shifts every second
     When sidecars and a leader change its maps for 40 s with orders carried out while ranks restart
     Then no forward pass used two maps
     And the maps were changed at least 8 times
--- a/features/placement.feature
+++ b/features/placement.feature
@@ -25,7 +25,7 @@
     Many gateways send a few requests a second each, and reports are older
     than the time in which runners fill.
     Given <gateways> gateways in <halls> halls and <runners> runners of <slots> slots
-    And runners report each <interval_s> s and the leader forwards reports each <forward_s> s
+    And runners report every <interval_s> s and the leader forwards reports every <forward_s> s
     When all send <per_s> requests a second for 12 s, and each takes 1.3 s
     Then at most <most> in 100 requests wait for a slot
 
@@ -36,7 +36,7 @@
 
   Scenario: Without a limit for cold runners the selection is not changed
     Given 39 gateways in 3 halls and 72 runners of 5 slots
-    And runners report each 0.2 s and the leader forwards reports each 0.2 s
+    And runners report every 0.2 s and the leader forwards reports every 0.2 s
     And the routes limit a cold runner to 0 requests a second, which means no limit
     When all send 140 requests a second for 4 s, and each takes 1.3 s
     Then each request goes to the same runner as without limits
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -182,7 +182,7 @@
 # Expert maps.
 
 
-@given('a group of 4 engines whose demand shifts each second')
+@given('a group of 4 engines whose demand shifts every second')
 def shifting_group(context):
     context.name = context.scenario.name
 
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -116,8 +116,8 @@
 
 
 @given(
-    'runners report each {interval_s:g} s'
-    ' and the leader forwards reports each {forward_s:g} s'
+    'runners report every {interval_s:g} s'
+    ' and the leader forwards reports every {forward_s:g} s'
 )
 def set_report_interval(context, interval_s, forward_s):
     # On average a report waits for half of the forwarding interval.
--- a/features/steps/warmup_steps.py
+++ b/features/steps/warmup_steps.py
@@ -604,7 +604,7 @@
 
 
 @when('requests of priorities {priorities} arrive at once')
-def come_at_once(context, priorities):
+def send_at_once(context, priorities):
     async def play():
         context.gateway = _SingleGateway(context.runners)
         async with trio.open_nursery() as nursery:
@@ -691,7 +691,7 @@
 
 
 @when('a request arrives')
-def one_comes(context):
+def send_one(context):
     async def play():
         started_s = trio.current_time() - context.started_ago_s
         context.gateway = _SingleGateway(context.runners, started_s)
@@ -707,7 +707,7 @@
 
 
 @when('a request arrives, and another one {later_s:g} s later')
-def two_come(context, later_s):
+def send_two(context, later_s):
     async def play():
         context.gateway = _SingleGateway(context.runners)
         await context.gateway.ask(1)
@@ -727,8 +727,8 @@
     assert problem.code == code, problem
 
 
-@when('40 requests arrive, one each 2 s')
-def forty_come(context):
+@when('40 requests arrive, one every 2 s')
+def send_forty(context):
     async def play():
         gateway = context.gateway = _SingleGateway(context.runners)
         for number in range(40):
--- a/features/warmup.feature
+++ b/features/warmup.feature
@@ -90,7 +90,7 @@
   Scenario: A cold runner gets less than a warm one
     Given a gateway with a quota of 1 request in a window for each of 2 runners
     And the first of them is cold, and both have 1 of 5 slots in use
-    When 40 requests arrive, one each 2 s
+    When 40 requests arrive, one every 2 s
     Then all go to the second runner
 
   Scenario Outline: Quotas keep to the limit where views lack <who>
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -158,14 +158,14 @@
         if 'lost' in faults or self.delaying:
             self.order_loss = 0.3
         self.changing = 'leader changes' in faults
-        self.term_s = 0.7 if 'each 0.7 s' in faults else 3.0
+        self.term_s = 0.7 if 'every 0.7 s' in faults else 3.0
         self.failing = 'failing' in faults
         #: Whether ranks restart under their ids and report their start times.
         self.restarting = 'restart' in faults
         #: False at the end, so that the last change finishes and no pass is
         #: held for another one at the moment of the check.
         self.shifting = True
-        self.report_s = 0.5 if 'report each 0.5 s' in faults else 0.2
+        self.report_s = 0.5 if 'report every 0.5 s' in faults else 0.2
         #: Part of the leader's pushes that are lost.
         self.push_loss = 0.5 if 'pushes lost' in faults else 0.0
         self.sidecars = {}
