--- a/features/losses.feature
+++ b/features/losses.feature
@@ -1,5 +1,8 @@
 Feature: Loss of controllers, of whole halls and of two boxes
 
+  Writes stop while no leader is known, and for good if a majority of voters
+  is lost with one hall.
+
   Scenario: A delayed leader is waited for and gets the call once
     Given 3 controllers of which the last one leads and answers after 0.35 s
     And a process that knows the leader
@@ -64,9 +67,9 @@
     Then a leader is elected within 0.08 s, in 30 of 30 runs
 
     Examples:
-      | first          | count |
-      | one of two     | 3     |
-      | one of four    | 5     |
+      | first       | count |
+      | one of two  | 3     |
+      | one of four | 5     |
 
   Scenario: The only voter that can be elected soon requests votes again
     Given 3 controllers with a leader
@@ -81,20 +84,20 @@
     And one voter changed at a time
 
     Examples: a replacement never places a majority in a hall, one swap at a time
-      | voters                   | learners         | unresponsive      | after                    | changes | least |
-      | north 2, south 2, west 1 | no hall          | none              | north 2, south 2, west 1 | 0       | 5     |
-      | north 2, south 2, west 1 | west 1           | none              | north 2, south 2, west 1 | 0       | 5     |
-      | north 2, south 2, west 1 | west 1           | north2            | north 1, south 2, west 2 | 2       | 5     |
-      | north 2, south 2, west 1 | north 1          | west1             | north 2, south 2, west 1 | 0       | 5     |
-      | north 2, south 2, west 1 | north 1, west 1  | south1 and south2 | north 2, south 1, west 2 | 2       | 5     |
-      | north 3, south 2         | west 1           | none              | north 2, south 2, west 1 | 2       | 5     |
-      | north 3, south 2         | west 1           | south1            | north 2, south 2, west 1 | 2       | 5     |
-      | north 3, south 2         | north 1          | none              | north 3, south 2         | 0       | 5     |
-      | north 4, south 1         | west 2           | none              | north 2, south 1, west 2 | 4       | 5     |
-      | north 3, south 2         | north 1          | north2            | north 3, south 2         | 2       | 5     |
-      | north 1, south 1, west 1 | south 1          | none              | north 1, south 1, west 1 | 0       | 3     |
-      | north 2, south 1         | west 1           | none              | north 1, south 1, west 1 | 2       | 3     |
-      | north 2, south 2         | north 1, west 1  | none              | north 2, south 2, west 1 | 1       | 4     |
+      | voters                   | learners        | unresponsive      | after                    | changes | least |
+      | north 2, south 2, west 1 | no hall         | none              | north 2, south 2, west 1 | 0       | 5     |
+      | north 2, south 2, west 1 | west 1          | none              | north 2, south 2, west 1 | 0       | 5     |
+      | north 2, south 2, west 1 | west 1          | north2            | north 1, south 2, west 2 | 2       | 5     |
+      | north 2, south 2, west 1 | north 1         | west1             | north 2, south 2, west 1 | 0       | 5     |
+      | north 2, south 2, west 1 | north 1, west 1 | south1 and south2 | north 2, south 1, west 2 | 2       | 5     |
+      | north 3, south 2         | west 1          | none              | north 2, south 2, west 1 | 2       | 5     |
+      | north 3, south 2         | west 1          | south1            | north 2, south 2, west 1 | 2       | 5     |
+      | north 3, south 2         | north 1         | none              | north 3, south 2         | 0       | 5     |
+      | north 4, south 1         | west 2          | none              | north 2, south 1, west 2 | 4       | 5     |
+      | north 3, south 2         | north 1         | north2            | north 3, south 2         | 2       | 5     |
+      | north 1, south 1, west 1 | south 1         | none              | north 1, south 1, west 1 | 0       | 3     |
+      | north 2, south 1         | west 1          | none              | north 1, south 1, west 1 | 2       | 3     |
+      | north 2, south 2         | north 1, west 1 | none              | north 2, south 2, west 1 | 1       | 4     |
 
   Scenario: Below the wanted number, an unresponsive voter is replaced in its own hall
     Given voters in north 1, south 1, west 1, and learners in west 1
@@ -125,10 +128,10 @@
     When boxes are replaced without tolerated hall losses
     Then the unresponsive voter is removed and then the first learner promoted
 
-  Scenario: A set of controllers written without halls
+  Scenario: A set of controllers that was written without halls is kept as it was
     Then a set of controllers without halls is read, and written unchanged
 
-  Scenario: A log written without halls
+  Scenario: A log written without halls is read, and voters are placed
     Given 5 voters in 3 halls
     When a leader has read a log without halls
     Then it soon knows the halls of all, and voters are placed in 3 of them
@@ -143,17 +146,17 @@
     And 5 voters are placed so that any hall can be lost
 
     Examples:
-      | which                     | are | fault                      |
-      | the hall with the leader  | is  | killed                     |
-      | the hall with the leader  | is  | cut off                    |
-      | the hall with the leader  | is  | killed and wiped    |
-      | a hall without the leader | is  | killed                     |
-      | a hall without the leader | is  | cut off                    |
-      | a hall without the leader | is  | killed and wiped    |
-      | the leader and another    | are | killed                     |
-      | the leader and another    | are | killed and wiped    |
-      | two followers         | are | killed                     |
-      | two followers         | are | killed and wiped    |
+      | which                     | are | fault            |
+      | the hall with the leader  | is  | killed           |
+      | the hall with the leader  | is  | cut off          |
+      | the hall with the leader  | is  | killed and wiped |
+      | a hall without the leader | is  | killed           |
+      | a hall without the leader | is  | cut off          |
+      | a hall without the leader | is  | killed and wiped |
+      | the leader and another    | are | killed           |
+      | the leader and another    | are | killed and wiped |
+      | two followers             | are | killed           |
+      | two followers             | are | killed and wiped |
 
   Scenario: A box that starts while the first seed is lost finds the leader
     Given 5 voters in 3 halls
--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -1,5 +1,8 @@
 Feature: Quarantine of requests that crash their runners
 
+  A request that crashes each runner it reaches would take down all of them
+  by its retries.
+
   Scenario Outline: A crashing request is repeated at all gateways, while <case>
     Given 6 runners of <kind>
     When a crashing request is sent every 1 s to another gateway for 20 s, while <case>
@@ -57,7 +60,7 @@
     When a request is quarantined for other crashes, and is sent 62 s later
     Then it is served, and no entry of it remains
 
-  Scenario Outline: Retries on a group while a request is quarantined
+  Scenario Outline: A request that crashed a rank is retried only if it had returned events
     Given a rank that crashed while running a request that had returned <events> events
     Then it <may> be retried
 
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -120,11 +120,13 @@
     context.monitor = context.channel.socket.get_monitor_socket()
 
 
-@then('it retries without waiting for the kernel')
+@then("it retries without waiting for the kernel's retransmission")
 def check_reconnects(context):
     attempts = 0
     while attempts < 3:
-        assert context.monitor.poll(GUARD_S * 1000), 'it waits for ever'
+        assert context.monitor.poll(
+            GUARD_S * 1000
+        ), 'no further connection attempt'
         event = monitor.recv_monitor_message(context.monitor)
         attempts += event['event'] == zmq.EVENT_CONNECT_DELAYED
 
@@ -145,7 +147,7 @@
     )
 
 
-@when('it is stopped while a request never ends')
+@when('it begins a planned stop while a request never ends')
 def stop_entry(context):
     async def main():
         drained = context.entry
@@ -178,7 +180,7 @@
 @given('an engine that {fault}')
 def faulty_engine(context, fault):
     async def execute(order):
-        raise FAULTS[fault]('as the scenario says')
+        raise FAULTS[fault]('fault of the scenario')
 
     context.engine = types.SimpleNamespace(execute=execute)
 
--- a/features/worlds/ranks.py
+++ b/features/worlds/ranks.py
@@ -114,11 +114,11 @@
                 world.frozen_until_s[self.number] = now_s + FROZEN_S
             return
         if world.delaying:
-            world.nursery.start_soon(self._follow_delayed, order)
+            world.nursery.start_soon(self._execute_delayed, order)
         await trio.sleep(engines.ORDER_TIMEOUT_S)
         raise errors.OutcomeUnknown('no response')
 
-    async def _follow_delayed(self, order):
+    async def _execute_delayed(self, order):
         await trio.sleep(self.world.rng.uniform(2, 12))
         try:
             now_s = trio.current_time()
@@ -154,18 +154,18 @@
         #: Part of the orders to engines that are lost, or delayed.
         self.order_loss = 0.0
         #: Whether these orders are carried out later.
-        self.delaying = 'late' in faults
+        self.delaying = 'delayed' in faults
         if 'lost' in faults or self.delaying:
             self.order_loss = 0.3
         self.changing = 'leader changes' in faults
-        self.term_s = 0.7 if 'each 0.7 s' in faults else 3.0
-        self.dying = 'dying' in faults
+        self.term_s = 0.7 if 'every 0.7 s' in faults else 3.0
+        self.failing = 'failing' in faults
         #: Whether ranks restart under their ids and report their start times.
         self.restarting = 'restart' in faults
         #: False at the end, so that the last change finishes and no pass is
         #: held for another one at the moment of the check.
         self.shifting = True
-        self.report_s = 0.5 if 'report each 0.5 s' in faults else 0.2
+        self.report_s = 0.5 if 'report every 0.5 s' in faults else 0.2
         #: Part of the leader's pushes that are lost.
         self.push_loss = 0.5 if 'pushes lost' in faults else 0.0
         self.sidecars = {}
@@ -188,13 +188,13 @@
             self.nursery.start_soon(self._sidecar, number)
         self.nursery.start_soon(self._passes)
         self.nursery.start_soon(self._shift)
-        self.nursery.start_soon(self._stand_in)
+        self.nursery.start_soon(self._send_remote_orders)
         if self.changing:
             self.nursery.start_soon(self._change_leaders)
-        if self.dying or self.restarting:
-            self.nursery.start_soon(self._kill_ranks)
+        if self.failing or self.restarting:
+            self.nursery.start_soon(self._restart_ranks)
 
-    async def _stand_in(self):
+    async def _send_remote_orders(self):
         """Call engines with unresponsive sidecars for the current leader."""
         app = types.SimpleNamespace(
             now_s=trio.current_time,
@@ -202,11 +202,11 @@
         )
         while True:
             leader = self.leader
-            stand_in = remoteranks.RemoteRanks(
+            remote_ranks = remoteranks.RemoteRanks(
                 app, leader.groups, self.remote_engine
             )
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(stand_in.run)
+                nursery.start_soon(remote_ranks.run)
                 while self.leader is leader:
                     await trio.sleep(remoteranks.CHECK_INTERVAL_S)
                 nursery.cancel_scope.cancel()
@@ -263,7 +263,7 @@
             self.term += 1
             self.leader = Leader(self)
 
-    async def _kill_ranks(self):
+    async def _restart_ranks(self):
         while True:
             await trio.sleep(5 + self.rng.random())
             now_s = trio.current_time()
